--- a/coordination/gate/cold_test.go
+++ b/coordination/gate/cold_test.go
@@ -21,17 +21,18 @@
 	refused  int
 }
 
-// send requests slots at a rate for a time. Each is held for a random time of takes on average.
-func (l *coldLoad) send(perSecond float64, takes, lasts time.Duration) {
+// sendRequests sends requests at a rate for a duration. Each holds its slot for a random time with
+// the mean serviceTime.
+func (l *coldLoad) sendRequests(perSecond float64, serviceTime, duration time.Duration) {
 	rnd := rand.New(rand.NewPCG(3, 7))
 	work := model.Work{Kind: model.KindInteractive, Target: 400 * time.Millisecond}
 	results := make(chan time.Time, 1<<14)
-	asked := 0
+	sent := 0
 	var running sync.WaitGroup
 	defer running.Wait()
-	for end := time.Now().Add(lasts); time.Now().Before(end); asked++ {
+	for end := time.Now().Add(duration); time.Now().Before(end); sent++ {
 		time.Sleep(time.Duration(rnd.ExpFloat64() / perSecond * float64(time.Second)))
-		held := time.Duration(rnd.Float64() * 2 * float64(takes))
+		held := time.Duration(rnd.Float64() * 2 * float64(serviceTime))
 		running.Go(func() {
 			due := time.Now().Add(work.Target)
 			r := Request{Work: work, Due: due, Deadline: due.Add(time.Second)}
@@ -44,7 +45,7 @@
 			l.gate.Release(work, held, time.Now())
 		})
 	}
-	for range asked {
+	for range sent {
 		if at := <-results; at.IsZero() {
 			l.refused++
 		} else {
@@ -55,7 +56,7 @@
 
 // maxPerSecond returns the largest number of admissions in any second.
 func (l *coldLoad) maxPerSecond() int {
-	most := 0
+	highest := 0
 	for i, from := range l.admitted {
 		n := 0
 		for _, at := range l.admitted[i:] {
@@ -63,13 +64,14 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
-// playCold calls play with the gate of a backend server that is cold for the given time.
-func playCold(t *testing.T, slots int, cold time.Duration, play func(*coldLoad)) {
+// simulateCold calls run, on virtual time, with the gate of a backend server that is cold for the
+// given time.
+func simulateCold(t *testing.T, slots int, cold time.Duration, run func(*coldLoad)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() {
@@ -87,35 +89,35 @@
 				l.gate.Tick(time.Now())
 			}
 		}()
-		play(l)
+		run(l)
 	})
 }
 
-// When a zone comes back, its cold backend servers are offered many times their capacity. Short
-// requests would exceed the rate in spite of the few slots.
+// When an availability zone recovers, its cold backend servers are offered many times their
+// capacity. The bound on the slots alone wouldn't keep short requests within the rate.
 func TestColdBackendServerGetsItsRateInAnySecond(t *testing.T) {
-	for name, takes := range map[string]time.Duration{"short": 5 * time.Millisecond, "usual": 90 * time.Millisecond, "long": 400 * time.Millisecond} {
-		playCold(t, 6, time.Hour, func(l *coldLoad) {
-			l.send(120, takes, 10*time.Second)
+	for name, serviceTime := range map[string]time.Duration{"short": 5 * time.Millisecond, "usual": 90 * time.Millisecond, "long": 400 * time.Millisecond} {
+		simulateCold(t, 6, time.Hour, func(l *coldLoad) {
+			l.sendRequests(120, serviceTime, 10*time.Second)
 			must.LessEq(t, 22, l.maxPerSecond(), must.Sprint(name))
-			must.GreaterEq(t, 100, len(l.admitted), must.Sprintf("%s: the capacity is used", name))
-			must.GreaterEq(t, 900, l.refused, must.Sprintf("%s: the others are refused early", name))
+			must.GreaterEq(t, 100, len(l.admitted), must.Sprintf("%s: the capacity should be used", name))
+			must.GreaterEq(t, 900, l.refused, must.Sprintf("%s: the other requests should be refused", name))
 		})
 	}
 }
 
 // A load below the rate is served as if there were no limit.
 func TestColdBackendServerServesALoadBelowItsRate(t *testing.T) {
-	playCold(t, 6, time.Hour, func(l *coldLoad) {
-		l.send(8, 90*time.Millisecond, 20*time.Second)
+	simulateCold(t, 6, time.Hour, func(l *coldLoad) {
+		l.sendRequests(8, 90*time.Millisecond, 20*time.Second)
 		must.LessEq(t, len(l.admitted)/20, l.refused)
 	})
 }
 
-// All entry nodes send to a backend server as soon as it is warm, so its slots are given back
+// All entry nodes send to a backend server as soon as it is warm, so its usable slots grow
 // gradually.
 func TestWarmBackendServerGetsItsSlotsGradually(t *testing.T) {
-	playCold(t, 10, 2*time.Second, func(l *coldLoad) {
+	simulateCold(t, 10, 2*time.Second, func(l *coldLoad) {
 		at := func(after time.Duration) int {
 			time.Sleep(after)
 			return l.gate.Load().Slots
@@ -123,17 +125,17 @@
 		must.Eq(t, 3, at(1500*time.Millisecond), must.Sprint("twice the concurrency of 15 per second at 100 ms"))
 		must.Between(t, 5, at(time.Second), 8)
 		must.Eq(t, 10, at(time.Second))
-		l.send(60, 50*time.Millisecond, 5*time.Second)
-		must.LessEq(t, len(l.admitted)/20, l.refused, must.Sprint("the limit no longer applies"))
+		l.sendRequests(60, 50*time.Millisecond, 5*time.Second)
+		must.LessEq(t, len(l.admitted)/20, l.refused, must.Sprint("the limit should no longer apply"))
 	})
 }
 
-// A restarted process doesn't know what its predecessor has admitted within the last second. The
-// requests of both together must stay within the bound.
+// A restarted node process doesn't know what its predecessor admitted within the last second. The
+// requests admitted by both must stay within the limit.
 func TestRestartedGateStartsWithoutABurst(t *testing.T) {
-	playCold(t, 6, time.Hour, func(l *coldLoad) {
+	simulateCold(t, 6, time.Hour, func(l *coldLoad) {
 		began, first := time.Now(), 0
-		l.send(120, 5*time.Millisecond, time.Second)
+		l.sendRequests(120, 5*time.Millisecond, time.Second)
 		for _, at := range l.admitted {
 			if at.Sub(began) < time.Second {
 				first++
--- a/coordination/gate/enter.go
+++ b/coordination/gate/enter.go
@@ -8,21 +8,22 @@
 	"github.com/jacinthgate/jacinthgate/protocol/outcome"
 )
 
-// waitedError is the cause of a wait that ended at its bound.
-type waitedError struct{}
+// waitBoundError is the context cause of a wait that reached its bound.
+type waitBoundError struct{}
 
 // Error implements error.
-func (*waitedError) Error() string { return "no slot became free in time" }
+func (*waitBoundError) Error() string { return "no slot became free in time" }
 
-var errWaited error = new(waitedError)
+var errWaitBound error = new(waitBoundError)
 
-// Enter takes a slot for a request, waiting for one while it can still be
-// answered when it is due, or until the end of ctx, which should end at the
-// deadline. On an empty reason the caller holds a slot and must call Release.
-// clock is read at the start and when a slot is given back unused.
+// Enter takes a slot for a request. If none is free, it waits until the
+// request's wait bound, after which the request would be late, or until ctx ends,
+// which should be at the deadline. If it returns no reason, the caller holds a
+// slot and must call Release. clock is read at the start, and when a slot that
+// was granted too late is released unused.
 func (g *Gate) Enter(ctx context.Context, r Request, clock func() time.Time) outcome.Reason {
 	now := clock()
-	if g.elsewhere(r, now) {
+	if g.shouldReroute(r, now) {
 		return outcome.ReasonHostSlow
 	}
 	if g.Try(r, now) {
@@ -34,9 +35,9 @@
 	if acquired || reason != "" {
 		return reason
 	}
-	if !w.until.IsZero() {
+	if !w.waitUntil.IsZero() {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadlineCause(ctx, w.until, errWaited)
+		ctx, cancel = context.WithDeadlineCause(ctx, w.waitUntil, errWaitBound)
 		defer cancel()
 	}
 	return g.wait(ctx, w, settled, clock)
@@ -52,7 +53,7 @@
 	if !g.Cancel(w) && <-settled == "" {
 		g.Release(w.Request.Work, 0, clock())
 	}
-	if errors.Is(context.Cause(ctx), errWaited) {
+	if errors.Is(context.Cause(ctx), errWaitBound) {
 		return outcome.ReasonQueueFull
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
--- a/coordination/gate/fair.go
+++ b/coordination/gate/fair.go
@@ -1,29 +1,31 @@
 package gate
 
 // fairShares orders the waiters of organisations by start-time fair queueing: while
-// requests wait, each organisation gets slots in proportion to its weight, and one that
-// sends more than that waits behind its own requests and not before those of others. It
-// answers the load of one organisation that floods within its quota: without it the others
-// are refused as often as the one that floods.
+// requests are queued, each organisation gets slots in proportion to its weight, and the
+// excess requests of an organisation wait behind its own and not ahead of those of others.
+// It guards against an organisation that floods within its quota: without fair queueing,
+// the requests of others are refused as often as those of the flooding organisation.
 //
-// It remembers nothing between two times at which nobody waits, so that an organisation
-// isn't held back for slots that nobody else wanted. It is not safe for concurrent use.
+// Its state is cleared whenever the queue becomes empty, so that an organisation isn't
+// penalised for slots that no other organisation wanted. It is not safe for concurrent use.
 type fairShares struct {
-	// now is the start tag of the last waiter that was granted a slot.
-	now float64
-	// finish is, by organisation, the tag at which its next request starts.
+	// virtualTime is the highest start tag of a waiter that was granted a slot.
+	virtualTime float64
+	// finish is, by organisation, the finish tag of its last request, at which its next
+	// one starts.
 	finish map[string]float64
 }
 
-// next returns the start tag of an organisation's next request. Requests of no
-// organisation start at once.
-func (f *fairShares) next(organisation string) float64 {
-	return max(f.now, f.finish[organisation])
+// startTag returns the start tag of an organisation's next request. It is the virtual time
+// for requests without an organisation.
+func (f *fairShares) startTag(organisation string) float64 {
+	return max(f.virtualTime, f.finish[organisation])
 }
 
-// start is next, and counts the request.
-func (f *fairShares) start(organisation string, weight float64) float64 {
-	start := f.next(organisation)
+// charge returns the start tag of an organisation's next request, and charges the request to
+// the organisation.
+func (f *fairShares) charge(organisation string, weight float64) float64 {
+	start := f.startTag(organisation)
 	if organisation == "" || weight <= 0 {
 		return start
 	}
@@ -34,19 +36,19 @@
 	return start
 }
 
-// dropped takes back that a request was counted that waits no longer and got no slot:
-// who is refused often would otherwise fall ever further behind.
-func (f *fairShares) dropped(organisation string, weight float64) {
-	if finish, counted := f.finish[organisation]; counted && weight > 0 {
+// refund takes back the charge for a request that left the queue without a slot: an
+// organisation that is refused often would otherwise fall further and further behind.
+func (f *fairShares) refund(organisation string, weight float64) {
+	if finish, charged := f.finish[organisation]; charged && weight > 0 {
 		f.finish[organisation] = finish - 1/weight
 	}
 }
 
-// granted notes that the waiter with a start tag has a slot.
-func (f *fairShares) granted(start float64) { f.now = max(f.now, start) }
+// advance advances the virtual time to the start tag of a waiter that was granted a slot.
+func (f *fairShares) advance(start float64) { f.virtualTime = max(f.virtualTime, start) }
 
-// reset forgets all: nobody waits.
+// reset clears the state. It is called when the queue becomes empty.
 func (f *fairShares) reset() {
-	f.now = 0
+	f.virtualTime = 0
 	clear(f.finish)
 }
--- a/coordination/gate/gate.go
+++ b/coordination/gate/gate.go
@@ -9,30 +9,31 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Limits are what a backend server offers and what of it may be used.
+// Limits are the capacity of a backend server and the bounds on its use.
 type Limits struct {
-	// Slots is the number of requests the backend server runs at one time.
+	// Slots is the number of requests that the backend server runs concurrently.
 	Slots int
-	// Connections is the number of connections it accepts. A request in
+	// Connections is the number of connections that it accepts. A request in
 	// flight uses one.
 	Connections int
-	// OlderSlots is the number of slots left to the older system.
+	// OlderSlots is the number of slots reserved for the older system.
 	OlderSlots int
-	// QueueLength bounds the requests that wait.
+	// QueueLength bounds the number of queued requests.
 	QueueLength int
-	// SlowStart is how long a cold server takes to be given all its slots.
+	// SlowStart is the time after Since over which the usable slots grow to
+	// their full number.
 	SlowStart time.Duration
-	// Since is when the server was first announced.
+	// Since is when the backend server was first announced.
 	Since time.Time
-	// Draining refuses all new requests.
+	// Draining makes the gate refuse all new requests.
 	Draining bool
 	// Cold bounds the requests while the backend server is cold.
 	Cold ColdLimits
 }
 
-// usable returns the number of slots that may be used at now. At least one
-// slot is used whatever is left to the older system: a service without any
-// would be announced and never served.
+// usable returns the number of slots that may be used at now. It is at least
+// one, however many slots are reserved for the older system: a service without
+// any slot would be announced and never served.
 func (l Limits) usable(now time.Time) int {
 	full := max(1, min(l.Slots, l.Connections)-max(0, l.OlderSlots))
 	warm := now.Sub(l.Since)
@@ -43,23 +44,23 @@
 	return max(1, int(ramped))
 }
 
-// Load is the gate's load.
+// Load is a snapshot of a gate's load.
 type Load struct {
 	// Used is the number of slots in use.
 	Used int
 	// Slots is the number of slots that may be used now.
 	Slots int
-	// Queued is the number of requests that wait.
+	// Queued is the number of queued requests.
 	Queued int
 }
 
-// Gate counts one backend server's slots. It is safe for concurrent use.
+// Gate admits requests to one backend server. It is safe for concurrent use.
 type Gate struct {
-	used    atomic.Int64
-	slots   atomic.Int64
-	waiting atomic.Int64
-	closed  atomic.Bool
-	times   estimates
+	used         atomic.Int64
+	slots        atomic.Int64
+	queued       atomic.Int64
+	closed       atomic.Bool
+	serviceTimes estimates
 
 	slowdown slowdown
 	cold     coldBucket
@@ -69,35 +70,38 @@
 	queue  queue
 }
 
-// New returns a gate that refuses everything until Update is called.
+// New returns a gate that refuses all requests until Update is called.
 func New() *Gate {
 	g := &Gate{}
-	g.queue.weight = g.weight
+	g.queue.sortKey = g.sortKey
 	g.closed.Store(true)
 	return g
 }
 
-// Load returns the present load.
+// Load returns the current load.
 func (g *Gate) Load() Load {
-	return Load{Used: int(g.used.Load()), Slots: int(g.slots.Load()), Queued: int(g.waiting.Load())}
+	return Load{Used: int(g.used.Load()), Slots: int(g.slots.Load()), Queued: int(g.queued.Load())}
 }
 
-// Work returns the mean time that a request holds a slot; 0 before the first.
-func (g *Gate) Work() time.Duration { return g.times.all.average() }
+// Work returns the mean time that a request holds a slot; 0 before the first
+// request has completed.
+func (g *Gate) Work() time.Duration { return g.serviceTimes.all.average() }
 
-// Typical returns what requests of a sort take on average; 0 before the first.
+// Typical returns the mean service time of a workload; 0 before its first
+// request has completed. It doesn't decay while no requests complete.
 func (g *Gate) Typical(w model.Work) time.Duration {
-	return time.Duration(g.times.Of(w).typical.Load())
+	return time.Duration(g.serviceTimes.Of(w).typical.Load())
 }
 
-// least returns a low estimate of what a request of a sort takes that begins now.
-func (g *Gate) least(w model.Work, now time.Time) time.Duration {
-	times := g.times.Of(w)
-	return times.slowed(times.get(), g.slowdown.get(now))
+// lowServiceTime returns a low estimate of the service time of a request of a
+// workload that starts at now.
+func (g *Gate) lowServiceTime(w model.Work, now time.Time) time.Duration {
+	times := g.serviceTimes.Of(w)
+	return times.slowed(times.low(), g.slowdown.current(now))
 }
 
-// Update sets the limits. Slots that were taken away are not refilled as they
-// become free; slots that were added go to those who wait.
+// Update sets the limits. Removed slots are not granted again once their
+// requests release them; added slots are granted to queued requests.
 func (g *Gate) Update(l Limits, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -112,37 +116,38 @@
 	g.grant(now)
 }
 
-// Tick lets slow start go on and estimates decay. Drivers call it about every
-// 100 ms.
+// Tick advances slow start and the decay of the estimates. Drivers call it about
+// every 100 ms.
 func (g *Gate) Tick(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.times.tick()
+	g.serviceTimes.tick()
 	if !g.closed.Load() {
 		g.setSlots(now)
 		g.grant(now)
 	}
 }
 
-// setSlots sets the number of slots that may be used now; g.mu is held.
+// setSlots sets the number of slots that may be used at now. g.mu must be held.
 func (g *Gate) setSlots(now time.Time) {
 	full := g.limits.usable(now)
-	g.slots.Store(int64(g.limits.Cold.slots(full, g.times.all.average(), now)))
+	g.slots.Store(int64(g.limits.Cold.slots(full, g.serviceTimes.all.average(), now)))
 }
 
-// Try takes a slot where one is free and nobody waits. On true the caller holds
-// a slot and must call Release. On false it calls Acquire, which says why; Try
-// only spares a request that need not wait the making of a Waiter.
+// Try takes a slot if one is free and the queue is empty. If it returns true,
+// the caller holds a slot and must call Release. If it returns false, the caller
+// calls Acquire, which returns the reason of a refusal; Try only saves requests
+// that need not wait the allocation of a Waiter.
 func (g *Gate) Try(r Request, now time.Time) bool {
-	if g.closed.Load() || now.Add(g.least(r.Work, now)).After(r.Deadline) {
+	if g.closed.Load() || now.Add(g.lowServiceTime(r.Work, now)).After(r.Deadline) {
 		return false
 	}
-	return g.waiting.Load() == 0 && g.take(now)
+	return g.queued.Load() == 0 && g.take(now)
 }
 
-// Acquire takes a slot for a request. On true the caller holds a slot and must
-// call Release. On false with an empty reason, w waits and its Settle is called
-// later. On false with a reason the request is refused.
+// Acquire takes a slot for a request. If it returns true, the caller holds a
+// slot and must call Release. If it returns false and no reason, w is queued and
+// its Settle is called later. If it returns a reason, the request is refused.
 func (g *Gate) Acquire(w *Waiter, now time.Time) (acquired bool, refused outcome.Reason) {
 	if g.Try(w.Request, now) {
 		return true, ""
@@ -150,13 +155,13 @@
 	if g.closed.Load() {
 		return false, outcome.ReasonDraining
 	}
-	times := g.times.Of(w.Request.Work)
-	if now.Add(g.least(w.Request.Work, now)).After(w.Request.Deadline) {
+	times := g.serviceTimes.Of(w.Request.Work)
+	if now.Add(g.lowServiceTime(w.Request.Work, now)).After(w.Request.Deadline) {
 		return false, outcome.ReasonDeadline
 	}
 	if !w.Request.Due.IsZero() {
-		w.latest = w.Request.Due.Add(-times.slowed(times.average(), g.slowdown.get(now)))
-		w.until = g.waitBound(w, now)
+		w.latestStart = w.Request.Due.Add(-times.slowed(times.average(), g.slowdown.current(now)))
+		w.waitUntil = g.waitBound(w, now)
 	}
 	return g.enqueue(w, now)
 }
@@ -179,13 +184,15 @@
 	return true
 }
 
+// enqueue queues a request, or takes a slot for it if one has become free. Its
+// results are those of Acquire.
 func (g *Gate) enqueue(w *Waiter, now time.Time) (bool, outcome.Reason) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed.Load() {
 		return false, outcome.ReasonDraining
 	}
-	if reason := g.late(w, now); reason != "" {
+	if reason := g.refusal(w, now); reason != "" {
 		return false, reason
 	}
 	if g.queue.size >= g.limits.QueueLength && g.queue.size > 0 {
@@ -195,51 +202,51 @@
 		}
 		shed.Settle(outcome.ReasonShed)
 	}
-	// The count goes up before the last look for a slot: a Release that frees
-	// one after that look sees the count and grants it.
+	// The waiter is counted before the last attempt to take a slot: a Release
+	// that frees a slot after that attempt sees the count and grants the slot.
 	g.queue.push(w)
-	g.waiting.Store(int64(g.queue.size))
+	g.queued.Store(int64(g.queue.size))
 	if g.queue.size == 1 && g.take(now) {
 		g.queue.remove(w)
-		g.waiting.Store(0)
+		g.queued.Store(0)
 		return true, ""
 	}
 	if g.limits.QueueLength == 0 {
 		g.queue.remove(w)
-		g.waiting.Store(int64(g.queue.size))
+		g.queued.Store(int64(g.queue.size))
 		return false, outcome.ReasonQueueFull
 	}
 	return false, ""
 }
 
-// Cancel gives up waiting. It returns false when w was settled already; its
-// slot, if it got one, must then be released.
+// Cancel removes w from the queue. It returns false when w was already settled;
+// if w was granted a slot, the caller must then release it.
 func (g *Gate) Cancel(w *Waiter) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	waited := g.queue.drop(w)
-	g.waiting.Store(int64(g.queue.size))
+	g.queued.Store(int64(g.queue.size))
 	return waited
 }
 
-// Release returns a slot. took is the time the request held it; 0 when the
-// backend server did not run it.
+// Release returns a slot. took is the time for which the request held it; 0 if
+// the backend server did not run the request.
 func (g *Gate) Release(w model.Work, took time.Duration, now time.Time) {
 	g.ReleaseSlowed(w, took, 1, now)
 }
 
-// ReleaseSlowed is Release for a request that began while the host had the slowdown: work
-// takes as long as the host lets it when it begins.
+// ReleaseSlowed is Release for a request that began while the host had the given
+// slowdown: the slowdown at the start of a request determines its service time.
 func (g *Gate) ReleaseSlowed(w model.Work, took time.Duration, slowdown float64, now time.Time) {
 	switch {
 	case took <= 0:
 	case slowdown == 1:
-		g.times.add(w, took)
+		g.serviceTimes.add(w, took)
 	default:
-		g.times.addSlowed(w, took, slowdown)
+		g.serviceTimes.addSlowed(w, took, slowdown)
 	}
 	g.used.Add(-1)
-	if g.waiting.Load() == 0 {
+	if g.queued.Load() == 0 {
 		return
 	}
 	g.mu.Lock()
@@ -247,7 +254,7 @@
 	g.grant(now)
 }
 
-// grant gives free slots to those who wait; g.mu is held.
+// grant grants free slots to queued requests. g.mu must be held.
 func (g *Gate) grant(now time.Time) {
 	for g.queue.size > 0 && g.take(now) {
 		w := g.nextInTime(now)
@@ -257,14 +264,14 @@
 		}
 		w.Settle("")
 	}
-	g.waiting.Store(int64(g.queue.size))
+	g.queued.Store(int64(g.queue.size))
 }
 
-// nextInTime pops the next waiter that can still be served in time and refuses
-// those before it.
+// nextInTime pops the next waiter that can still meet its deadline, and refuses
+// the waiters before it.
 func (g *Gate) nextInTime(now time.Time) *Waiter {
 	for w := g.queue.pop(); w != nil; w = g.queue.pop() {
-		if !now.Add(g.least(w.Request.Work, now)).After(w.Request.Deadline) {
+		if !now.Add(g.lowServiceTime(w.Request.Work, now)).After(w.Request.Deadline) {
 			return w
 		}
 		w.Settle(outcome.ReasonDeadline)
@@ -272,9 +279,10 @@
 	return nil
 }
 
+// refuseAll refuses all queued requests. g.mu must be held.
 func (g *Gate) refuseAll(reason outcome.Reason) {
 	for w := g.queue.pop(); w != nil; w = g.queue.pop() {
 		w.Settle(reason)
 	}
-	g.waiting.Store(0)
+	g.queued.Store(0)
 }
--- a/coordination/gate/gate_test.go
+++ b/coordination/gate/gate_test.go
@@ -18,7 +18,7 @@
 
 const settledOK = "slot"
 
-// waiter returns a waiter that appends its name and result to log.
+// waiter returns a waiter that appends its name and the result of its wait to log.
 func waiter(kind model.ClassKind, deadline time.Duration, name string, log *[]string) *Waiter {
 	return &Waiter{Request: Request{Work: model.WorkOf(kind), Deadline: start.Add(deadline)}, Settle: func(r outcome.Reason) {
 		if r == "" {
@@ -28,7 +28,8 @@
 	}}
 }
 
-func full(t *testing.T, l Limits) *Gate {
+// fullGate returns a gate whose usable slots are all in use.
+func fullGate(t *testing.T, l Limits) *Gate {
 	t.Helper()
 	g := New()
 	g.Update(l, start)
@@ -40,14 +41,14 @@
 }
 
 func TestMostImportantGoesFirst(t *testing.T) {
-	g := full(t, Limits{Slots: 1, Connections: 1, QueueLength: 4})
+	g := fullGate(t, Limits{Slots: 1, Connections: 1, QueueLength: 4})
 	var log []string
 	for _, w := range []*Waiter{
 		waiter(model.KindEventual, time.Hour, "eventual", &log),
 		waiter(model.KindBulk, time.Hour, "bulk", &log),
 		waiter(model.KindInteractive, time.Hour, "first", &log),
 		waiter(model.KindInteractive, time.Hour, "second", &log),
-		waiter(model.KindNonRepeatable, time.Hour, "booking", &log), // sheds the least important
+		waiter(model.KindNonRepeatable, time.Hour, "booking", &log), // the least important is shed
 	} {
 		ok, reason := g.Acquire(w, start)
 		must.False(t, ok)
@@ -61,18 +62,18 @@
 	must.Eq(t, []string{"eventual shed", "booking slot", "first slot", "second slot", "bulk slot"}, log)
 }
 
-// Less important requests are slowed down, not starved.
-func TestOldestGoesFirstNowAndThen(t *testing.T) {
-	g := full(t, Limits{Slots: 1, Connections: 1, QueueLength: 20})
+// Less important requests are delayed, not starved.
+func TestOldestGoesFirstPeriodically(t *testing.T) {
+	g := fullGate(t, Limits{Slots: 1, Connections: 1, QueueLength: 20})
 	var log []string
 	_, _ = g.Acquire(waiter(model.KindEventual, time.Hour, "eventual", &log), start)
 	for range 10 {
 		_, _ = g.Acquire(waiter(model.KindInteractive, time.Hour, "screen", &log), start)
 	}
-	for range fairEvery {
+	for range oldestFirstEvery {
 		g.Release(model.WorkOf(model.KindInteractive), 0, start)
 	}
-	must.Eq(t, "eventual slot", log[fairEvery-1])
+	must.Eq(t, "eventual slot", log[oldestFirstEvery-1])
 }
 
 func TestUsableSlots(t *testing.T) {
@@ -85,12 +86,12 @@
 	}{
 		{"all", Limits{Slots: 10, Connections: 20}, 0, 10},
 		{"few connections", Limits{Slots: 10, Connections: 4}, 0, 4},
-		{"older system's left free", Limits{Slots: 10, Connections: 20, OlderSlots: 3}, 0, 7},
-		{"never none", Limits{Slots: 2, Connections: 20, OlderSlots: 3}, 0, 1},
+		{"older system's slots reserved", Limits{Slots: 10, Connections: 20, OlderSlots: 3}, 0, 7},
+		{"at least one", Limits{Slots: 2, Connections: 20, OlderSlots: 3}, 0, 1},
 		{"cold", ramp, 0, 1},
 		{"half warm", ramp, 5 * time.Second, 5},
 		{"warm", ramp, 10 * time.Second, 10},
-		{"clock went back", ramp, -time.Second, 1},
+		{"clock stepped back", ramp, -time.Second, 1},
 	}
 	for _, tc := range cases {
 		must.Eq(t, tc.want, tc.limits.usable(start.Add(tc.after)), must.Sprint(tc.name))
@@ -99,7 +100,7 @@
 
 func TestDrainRefusesAtOnce(t *testing.T) {
 	l := Limits{Slots: 1, Connections: 1, QueueLength: 1}
-	g := full(t, l)
+	g := fullGate(t, l)
 	var log []string
 	_, _ = g.Acquire(waiter(model.KindBulk, time.Hour, "waits", &log), start)
 	l.Draining = true
@@ -107,10 +108,10 @@
 	must.Eq(t, []string{"waits draining"}, log)
 	_, reason := g.Acquire(waiter(model.KindNonRepeatable, time.Hour, "new", &log), start)
 	must.Eq(t, outcome.ReasonDraining, reason)
-	must.Eq(t, Load{Used: 1, Slots: 1}, g.Load()) // what runs goes on
+	must.Eq(t, Load{Used: 1, Slots: 1}, g.Load()) // the running request keeps its slot
 }
 
-func TestHopelessRequestsTakeNoSlot(t *testing.T) {
+func TestRequestsThatMissTheirDeadlineTakeNoSlot(t *testing.T) {
 	g := New()
 	g.Update(Limits{Slots: 1, Connections: 1, QueueLength: 9}, start)
 	var log []string
@@ -121,8 +122,8 @@
 	}
 	_, reason := g.Acquire(waiter(model.KindBulk, 100*time.Millisecond, "", &log), start)
 	must.Eq(t, outcome.ReasonDeadline, reason)
-	// Another kind's times don't count, and the estimate fades when nothing
-	// completes.
+	// The service times of other workloads don't count, and the estimate decays
+	// while no request completes.
 	ok, _ := g.Acquire(waiter(model.KindInteractive, 100*time.Millisecond, "", &log), start)
 	must.True(t, ok)
 	g.Release(model.WorkOf(model.KindInteractive), 0, start)
@@ -131,15 +132,15 @@
 	}
 	ok, _ = g.Acquire(waiter(model.KindBulk, 100*time.Millisecond, "", &log), start)
 	must.True(t, ok)
-	// A waiter whose time has passed is refused when its turn comes.
+	// A waiter past its deadline is refused when a slot becomes free.
 	_, _ = g.Acquire(waiter(model.KindBulk, time.Second, "waits", &log), start)
 	g.Release(model.WorkOf(model.KindBulk), 0, start.Add(2*time.Second))
 	must.Eq(t, []string{"waits deadline"}, log)
 	must.Eq(t, Load{Slots: 1}, g.Load())
 }
 
-// Whatever happens, no more slots are used than there are, and each request is
-// settled once.
+// In any sequence of calls, no more slots are used than there are, and each
+// request is settled once.
 func TestSlotsAndSettlements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := New()
@@ -152,7 +153,7 @@
 			case 0, 1:
 				w := &Waiter{Request: Request{Work: model.WorkOf(rapid.SampledFrom(kinds).Draw(t, "kind")), Deadline: start.Add(time.Hour)}}
 				w.Settle = func(r outcome.Reason) {
-					must.True(t, waiting[w], must.Sprint("settled twice or unasked"))
+					must.True(t, waiting[w], must.Sprint("settled twice or while not queued"))
 					delete(waiting, w)
 					if r == "" {
 						holding++
@@ -184,12 +185,12 @@
 				must.True(t, holding == before || holding <= l.Slots)
 			}
 			must.Eq(t, Load{Used: holding, Slots: l.Slots, Queued: len(waiting)}, g.Load())
-			must.True(t, len(waiting) == 0 || holding >= l.Slots, must.Sprint("a slot is free while one waits"))
+			must.True(t, len(waiting) == 0 || holding >= l.Slots, must.Sprint("a slot is free while a request is queued"))
 		}
 	})
 }
 
-// Concurrent requests never share a slot, and none is forgotten.
+// Concurrent requests never share a slot, and each is settled.
 func TestConcurrentRequests(t *testing.T) {
 	const slots = 4
 	g := New()
--- a/coordination/gate/load_test.go
+++ b/coordination/gate/load_test.go
@@ -14,22 +14,22 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// stream is a load of requests of one class at one gate.
+// stream is a stream of requests of one workload to a gate, with the counts of their outcomes.
 type stream struct {
-	work     model.Work
-	takes    time.Duration // mean, spread over half of it to one and a half
-	rate     float64       // requests a second
-	deadline time.Duration
-	// organisation and weight are whose requests these are; empty for nobody's.
+	work        model.Work
+	serviceTime time.Duration // mean; uniform from half of it to one and a half times it
+	rate        float64       // requests per second
+	deadline    time.Duration
+	// organisation is the organisation of the requests, which has the weight; empty for none.
 	organisation string
 	weight       float64
 
-	asked, inTime, late, refused atomic.Int64
+	sent, inTime, late, refused atomic.Int64
 }
 
-// play lets the streams press on a gate with so many slots for 20 s of virtual
+// simulate sends the streams to a gate with a number of slots for 20 s of virtual
 // time, with Poisson arrivals.
-func play(t *testing.T, slots int, streams ...*stream) {
+func simulate(t *testing.T, slots int, streams ...*stream) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New()
 		g.Update(Limits{Slots: slots, Connections: slots, QueueLength: 4 * slots}, time.Now())
@@ -40,7 +40,7 @@
 			go func() {
 				for ctx.Err() == nil {
 					time.Sleep(time.Duration(rnd.ExpFloat64() / s.rate * float64(time.Second)))
-					work := time.Duration((0.5 + rnd.Float64()) * float64(s.takes))
+					work := time.Duration((0.5 + rnd.Float64()) * float64(s.serviceTime))
 					go s.request(g, work)
 				}
 			}()
@@ -53,12 +53,13 @@
 	})
 }
 
+// request sends one request, which holds its slot for the time work.
 func (s *stream) request(g *Gate, work time.Duration) {
 	began := time.Now()
 	due, deadline := began.Add(s.work.Target), began.Add(s.deadline)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	s.asked.Add(1)
+	s.sent.Add(1)
 	if reason := g.Enter(ctx, Request{Work: s.work, Deadline: deadline, Due: due, Organisation: s.organisation, Weight: s.weight}, time.Now); reason != "" {
 		s.refused.Add(1)
 		return
@@ -72,53 +73,55 @@
 	s.inTime.Add(1)
 }
 
-func share(part, of *atomic.Int64) float64 { return float64(part.Load()) / float64(of.Load()) }
+func fraction(part, of *atomic.Int64) float64 { return float64(part.Load()) / float64(of.Load()) }
 
-// Short calls of running requests press on a backend server that is asked for
-// 1.4 times its slots by requests of six times their work. Refusing a call wastes
-// the run of its caller. With waits of a sixth of the target alone 0.465 of the
-// calls are refused, with four slots at least 0.097, and 0.027 where waits follow
-// the work of a class.
+// Short calls that running requests make compete with new requests of six times
+// their service time, which alone are 1.2 times the capacity (1.4 with the calls).
+// Refusing a call wastes the run of its caller. 0.465 of the calls are refused if
+// waits are only bounded to a sixth of the target, 0.097 with a bound of at least
+// four slot releases, and 0.027 if the bound also depends on the workload's
+// service time.
 func TestShortCallsPassNewRequestsUnderOverload(t *testing.T) {
-	calls := &stream{work: model.Work{Kind: model.KindInteractive, Rank: 1, Target: 120 * time.Millisecond}, takes: 30 * time.Millisecond, rate: 60, deadline: 400 * time.Millisecond}
-	fresh := &stream{work: model.Work{Kind: model.KindNonRepeatable, Rank: 1, Target: 500 * time.Millisecond}, takes: 180 * time.Millisecond, rate: 60, deadline: 1200 * time.Millisecond}
-	play(t, 9, calls, fresh)
-	t.Logf("calls: %d asked, %d in time, %d late, %d refused", calls.asked.Load(), calls.inTime.Load(), calls.late.Load(), calls.refused.Load())
-	t.Logf("new: %d asked, %d in time, %d late, %d refused", fresh.asked.Load(), fresh.inTime.Load(), fresh.late.Load(), fresh.refused.Load())
-	must.Less(t, 0.03, share(&calls.refused, &calls.asked))
-	// Seven of the nine slots are left to new requests, for 39 of 60 a second.
-	must.Greater(t, 0.55, share(&fresh.inTime, &fresh.asked))
-	must.Less(t, 0.02, share(&fresh.late, &fresh.asked))
+	calls := &stream{work: model.Work{Kind: model.KindInteractive, Rank: 1, Target: 120 * time.Millisecond}, serviceTime: 30 * time.Millisecond, rate: 60, deadline: 400 * time.Millisecond}
+	longer := &stream{work: model.Work{Kind: model.KindNonRepeatable, Rank: 1, Target: 500 * time.Millisecond}, serviceTime: 180 * time.Millisecond, rate: 60, deadline: 1200 * time.Millisecond}
+	simulate(t, 9, calls, longer)
+	t.Logf("calls: %d sent, %d in time, %d late, %d refused", calls.sent.Load(), calls.inTime.Load(), calls.late.Load(), calls.refused.Load())
+	t.Logf("new: %d sent, %d in time, %d late, %d refused", longer.sent.Load(), longer.inTime.Load(), longer.late.Load(), longer.refused.Load())
+	must.Less(t, 0.03, fraction(&calls.refused, &calls.sent))
+	// Seven of the nine slots are left to new requests, enough for 39 of 60 per second.
+	must.Greater(t, 0.55, fraction(&longer.inTime, &longer.sent))
+	must.Less(t, 0.02, fraction(&longer.late, &longer.sent))
 }
 
-// What an operator ranks first is served first: with both classes pressing
-// together at 1.7 times the slots, the first is served nearly whole.
+// The workload that an operator ranks first is served first: when two workloads
+// together need 1.7 times the slots, the first is served almost completely.
 func TestRankGoesFirstUnderOverload(t *testing.T) {
-	first := &stream{work: model.Work{Kind: model.KindInteractive, Rank: 0, Target: 600 * time.Millisecond}, takes: 150 * time.Millisecond, rate: 30, deadline: time.Second}
-	second := &stream{work: model.Work{Kind: model.KindNonRepeatable, Rank: 2, Target: 300 * time.Millisecond}, takes: 150 * time.Millisecond, rate: 60, deadline: time.Second}
-	play(t, 8, first, second)
-	must.Greater(t, 0.97, share(&first.inTime, &first.asked))
-	must.Greater(t, 0.2, share(&second.inTime, &second.asked))
+	first := &stream{work: model.Work{Kind: model.KindInteractive, Rank: 0, Target: 600 * time.Millisecond}, serviceTime: 150 * time.Millisecond, rate: 30, deadline: time.Second}
+	second := &stream{work: model.Work{Kind: model.KindNonRepeatable, Rank: 2, Target: 300 * time.Millisecond}, serviceTime: 150 * time.Millisecond, rate: 60, deadline: time.Second}
+	simulate(t, 8, first, second)
+	must.Greater(t, 0.97, fraction(&first.inTime, &first.sent))
+	must.Greater(t, 0.2, fraction(&second.inTime, &second.sent))
 }
 
-// A request that was told to be refused at once never waits first.
+// A request that wouldn't get a slot by its wait bound is refused at once, without
+// being queued.
 func TestRefusalForAFullQueueComesAtOnce(t *testing.T) {
-	g := busy(t, 1) // a slot becomes free each 200 ms
+	g := busyGate(t, 1) // a slot becomes free every 200 ms
 	w := &Waiter{Request: Request{Work: model.WorkOf(model.KindInteractive), Deadline: start.Add(time.Hour), Due: start.Add(300 * time.Millisecond)}}
 	_, reason := g.Acquire(w, start)
 	must.Eq(t, outcome.ReasonQueueFull, reason)
 	must.Eq(t, 0, g.Load().Queued)
 }
 
-// Calls pass requests that rank one higher and take five times as long: with
-// strict ranks 0.760 of the calls are refused, with ranks weighed against the work
-// 0.038, and each of them wastes a run of its caller.
+// Short calls pass requests that rank one higher and take five times as long. With
+// strict ranks 0.760 of the calls are refused, with ranks weighed against the
+// service time 0.038; each refusal wastes a run of the caller.
 func TestShortCallsPassLongerRequestsOfAHigherRank(t *testing.T) {
-	calls := &stream{work: model.Work{Kind: model.KindInteractive, Rank: 1, Target: 120 * time.Millisecond}, takes: 30 * time.Millisecond, rate: 60, deadline: 400 * time.Millisecond}
-	fresh := &stream{work: model.Work{Kind: model.KindNonRepeatable, Rank: 0, Target: 250 * time.Millisecond}, takes: 150 * time.Millisecond, rate: 90, deadline: 600 * time.Millisecond}
-	play(t, 9, calls, fresh)
-	t.Logf("calls: %d asked, %d refused; new: %d asked, %d in time", calls.asked.Load(), calls.refused.Load(), fresh.asked.Load(), fresh.inTime.Load())
-	must.Less(t, 0.05, share(&calls.refused, &calls.asked))
-	// 7.2 of the nine slots are left to new requests, for 48 of 90 a second.
-	must.Greater(t, 0.45, share(&fresh.inTime, &fresh.asked))
+	calls := &stream{work: model.Work{Kind: model.KindInteractive, Rank: 1, Target: 120 * time.Millisecond}, serviceTime: 30 * time.Millisecond, rate: 60, deadline: 400 * time.Millisecond}
+	longer := &stream{work: model.Work{Kind: model.KindNonRepeatable, Rank: 0, Target: 250 * time.Millisecond}, serviceTime: 150 * time.Millisecond, rate: 90, deadline: 600 * time.Millisecond}
+	simulate(t, 9, calls, longer)
+	t.Logf("calls: %d sent, %d refused; new: %d sent, %d in time", calls.sent.Load(), calls.refused.Load(), longer.sent.Load(), longer.inTime.Load())
+	must.Less(t, 0.05, fraction(&calls.refused, &calls.sent))
+	// 7.2 of the nine slots are left to the longer requests, enough for 48 of 90 per second.
+	must.Greater(t, 0.45, fraction(&longer.inTime, &longer.sent))
 }
--- a/coordination/gate/queue.go
+++ b/coordination/gate/queue.go
@@ -8,93 +8,95 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Request is what a gate needs to know of a request.
+// Request holds the properties of a request on which a gate bases its decision.
 type Request struct {
-	// Work is the request's sort of work.
+	// Work is the request's workload.
 	Work model.Work
-	// Deadline is when the caller stops to wait.
+	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// Due is when the answer should be there; zero when nothing is known. A
-	// request that can't start in time for that is refused, so that its caller
-	// can come back elsewhere and others are not late as well.
+	// Due is when the response should be complete; zero when not known. A request
+	// that can't start in time for that is refused, so that its caller can retry
+	// elsewhere and other requests aren't late as well.
 	Due time.Time
-	// Organisation is whose request it is; empty for nobody's. Slots that are short are
-	// shared by organisation, in proportion to Weight.
+	// Organisation is the organisation of the request; empty for none. When slots
+	// are short, organisations share them in proportion to Weight.
 	Organisation string
-	// Weight is the organisation's, above 0.
+	// Weight is the organisation's weight, above 0.
 	Weight float64
-	// Elsewhere says that its entry node can send it to another backend server, at no
-	// cost but the way.
+	// Elsewhere reports whether the entry node can send the request to another
+	// backend server at no cost but the network round trip.
 	Elsewhere bool
 }
 
-// Waiter is a request that waits for a slot.
+// Waiter is a request that waits, or may have to wait, for a slot.
 type Waiter struct {
-	// Request is what waits.
+	// Request is the request.
 	Request Request
-	// Settle is called once, with an empty reason when the request has a slot
-	// and with the reason of the refusal otherwise. It must not block or call
+	// Settle is called once, with an empty reason when the request was granted a
+	// slot and with the reason of the refusal otherwise. It must not block or call
 	// the Gate.
 	Settle func(reason outcome.Reason)
 
-	// latest is when the request must start to be answered when it is due; zero
-	// without such a time.
-	latest time.Time
-	// until is when the request is better refused; zero is no bound.
-	until time.Time
-	// tag orders the waiters of organisations; see fairShares.
-	tag    float64
-	line   *line
-	place  *list.Element
-	number uint64
-}
-
-// before reports whether w starts before o, which is of the same sort: whose
-// organisation has had less of its share, then whoever has less time, then whoever came
-// first.
+	// latestStart is the latest start at which the request is expected to complete
+	// by Due; zero without Due.
+	latestStart time.Time
+	// waitUntil is when the request should be refused if it has no slot yet; zero
+	// for no bound.
+	waitUntil time.Time
+	// startTag is the start tag of fair queueing; see fairShares.
+	startTag float64
+	subqueue *subqueue
+	element  *list.Element
+	arrival  uint64
+}
+
+// before reports whether w starts before o, which has the same workload: the lower start
+// tag first, that is the organisation that has used less of its share, then the earlier
+// latestStart, then the earlier arrival.
 func (w *Waiter) before(o *Waiter) bool {
-	if w.tag != o.tag {
-		return w.tag < o.tag
+	if w.startTag != o.startTag {
+		return w.startTag < o.startTag
 	}
-	if w.latest.Equal(o.latest) {
-		return w.number < o.number
+	if w.latestStart.Equal(o.latestStart) {
+		return w.arrival < o.arrival
 	}
-	return w.latest.Before(o.latest)
+	return w.latestStart.Before(o.latestStart)
 }
 
-// ahead reports whether w, which is new, goes before o, which waits.
-func (w *Waiter) ahead(o *Waiter) bool {
-	return w.tag < o.tag || w.tag == o.tag && w.latest.Before(o.latest)
+// overtakes reports whether w, which isn't queued yet, would start before o, which is.
+func (w *Waiter) overtakes(o *Waiter) bool {
+	return w.startTag < o.startTag || w.startTag == o.startTag && w.latestStart.Before(o.latestStart)
 }
 
-// line is the waiters of one sort of work, in the order in which they start.
-type line struct {
+// subqueue holds the waiters of one workload, in the order in which they start.
+type subqueue struct {
 	work model.Work
 	list list.List
 }
 
-func (l *line) first() *Waiter { return l.list.Front().Value.(*Waiter) }
-func (l *line) last() *Waiter  { return l.list.Back().Value.(*Waiter) }
+func (l *subqueue) first() *Waiter { return l.list.Front().Value.(*Waiter) }
+func (l *subqueue) last() *Waiter  { return l.list.Back().Value.(*Waiter) }
 
-// fairEvery is how often the longest waiting request goes first, whatever its
-// sort, so that the less important ones are slowed down but not starved.
-const fairEvery = 8
+// oldestFirstEvery is the interval, in pops, at which the waiter that has waited
+// longest is served, whatever its workload, so that less important requests are
+// delayed but not starved.
+const oldestFirstEvery = 8
 
-// queue orders the waiters: the sort of the least weight goes first. It is not
-// safe for concurrent use.
+// queue orders the waiters: the workload of the lowest sort key is served first. It
+// is not safe for concurrent use.
 type queue struct {
-	// weight is how much later than others a sort of work goes.
-	weight func(model.Work) float64
-	lines  []*line // those with waiters
-	size   int
-	next   uint64
-	pops   uint64
-	shares fairShares
-}
-
-// lineOf returns the line of a sort; nil where nobody waits in it.
-func (q *queue) lineOf(work model.Work) *line {
-	for _, l := range q.lines {
+	// sortKey returns the sort key of a workload.
+	sortKey     func(model.Work) float64
+	subqueues   []*subqueue // the non-empty ones
+	size        int
+	lastArrival uint64
+	pops        uint64
+	shares      fairShares
+}
+
+// subqueueOf returns the subqueue of a workload; nil if it has no waiters.
+func (q *queue) subqueueOf(work model.Work) *subqueue {
+	for _, l := range q.subqueues {
 		if l.work == work {
 			return l
 		}
@@ -102,43 +104,45 @@
 	return nil
 }
 
+// push queues a waiter and charges its organisation for it.
 func (q *queue) push(w *Waiter) {
-	q.next++
-	w.number = q.next
+	q.lastArrival++
+	w.arrival = q.lastArrival
 	q.size++
-	l := q.lineOf(w.Request.Work)
-	w.tag = q.shares.start(w.Request.Organisation, w.Request.Weight)
+	l := q.subqueueOf(w.Request.Work)
+	w.startTag = q.shares.charge(w.Request.Organisation, w.Request.Weight)
 	if l == nil {
-		l = &line{work: w.Request.Work}
-		q.lines = append(q.lines, l)
+		l = &subqueue{work: w.Request.Work}
+		q.subqueues = append(q.subqueues, l)
 	}
-	w.line = l
+	w.subqueue = l
 	for e := l.list.Back(); e != nil; e = e.Prev() {
 		if e.Value.(*Waiter).before(w) {
-			w.place = l.list.InsertAfter(w, e)
+			w.element = l.list.InsertAfter(w, e)
 			return
 		}
 	}
-	w.place = l.list.PushFront(w)
+	w.element = l.list.PushFront(w)
 }
 
-// drop takes out a waiter that gets no slot, and reports whether it was waiting.
+// drop removes a waiter that gets no slot, takes back the charge to its organisation, and
+// reports whether it was queued.
 func (q *queue) drop(w *Waiter) bool {
-	if w.line == nil {
+	if w.subqueue == nil {
 		return false
 	}
-	q.shares.dropped(w.Request.Organisation, w.Request.Weight)
+	q.shares.refund(w.Request.Organisation, w.Request.Weight)
 	return q.remove(w)
 }
 
-// remove reports whether w was waiting.
+// remove removes a waiter and reports whether it was queued.
 func (q *queue) remove(w *Waiter) bool {
-	l := w.line
+	l := w.subqueue
 	if l == nil {
 		return false
 	}
-	l.list.Remove(w.place)
-	w.line, w.place = nil, nil
+	l.list.Remove(w.element)
+	w.subqueue, w.element = nil, nil
 	q.size--
 	if q.size == 0 {
 		q.shares.reset()
@@ -146,50 +150,50 @@
 	if l.list.Len() > 0 {
 		return true
 	}
-	for i := range q.lines {
-		if q.lines[i] == l {
-			q.lines = append(q.lines[:i], q.lines[i+1:]...)
+	for i := range q.subqueues {
+		if q.subqueues[i] == l {
+			q.subqueues = append(q.subqueues[:i], q.subqueues[i+1:]...)
 			break
 		}
 	}
 	return true
 }
 
-// pop takes the next waiter, or nil.
+// pop removes and returns the next waiter; nil if the queue is empty.
 func (q *queue) pop() *Waiter {
 	if q.size == 0 {
 		return nil
 	}
 	q.pops++
-	w := q.lightest().first()
-	if q.pops%fairEvery == 0 {
+	w := q.nextSubqueue().first()
+	if q.pops%oldestFirstEvery == 0 {
 		w = q.oldest()
 		if w.Request.Organisation != "" {
-			w = w.line.first() // its sort is due, but not before those of its sort
+			w = w.subqueue.first() // its workload is served, but in the order of its subqueue
 		}
 	}
-	q.shares.granted(w.tag)
+	q.shares.advance(w.startTag)
 	q.remove(w)
 	return w
 }
 
-// lightest returns the line that goes first; there is one.
-func (q *queue) lightest() *line {
-	best, least := q.lines[0], q.weight(q.lines[0].work)
-	for _, l := range q.lines[1:] {
-		if weight := q.weight(l.work); weight < least {
-			best, least = l, weight
+// nextSubqueue returns the subqueue that is served first. The queue must not be empty.
+func (q *queue) nextSubqueue() *subqueue {
+	best, lowestKey := q.subqueues[0], q.sortKey(q.subqueues[0].work)
+	for _, l := range q.subqueues[1:] {
+		if key := q.sortKey(l.work); key < lowestKey {
+			best, lowestKey = l, key
 		}
 	}
 	return best
 }
 
-// oldest returns the waiter that came first; there is one.
+// oldest returns the waiter that arrived first. The queue must not be empty.
 func (q *queue) oldest() *Waiter {
-	oldest := q.lines[0].first()
-	for _, l := range q.lines {
+	oldest := q.subqueues[0].first()
+	for _, l := range q.subqueues {
 		for e := l.list.Front(); e != nil; e = e.Next() {
-			if w := e.Value.(*Waiter); w.number < oldest.number {
+			if w := e.Value.(*Waiter); w.arrival < oldest.arrival {
 				oldest = w
 			}
 		}
@@ -197,30 +201,31 @@
 	return oldest
 }
 
-// evict takes the last waiter of the heaviest sort, if that is heavier than the one of
-// the new waiter; otherwise the last one of the same sort whose organisation has had more
-// of its share than that of the new one.
+// evict removes and returns the last waiter of the subqueue that is served last, if the new
+// waiter w has a workload that is served before it. Otherwise it removes and returns the
+// last waiter of w's workload, if its organisation has used more of its share than w's. It
+// returns nil if there is neither.
 func (q *queue) evict(w *Waiter) *Waiter {
-	var heaviest *line
-	most := q.weight(w.Request.Work)
-	for _, l := range q.lines {
-		if weight := q.weight(l.work); weight > most {
-			heaviest, most = l, weight
+	var back *subqueue
+	highestKey := q.sortKey(w.Request.Work)
+	for _, l := range q.subqueues {
+		if key := q.sortKey(l.work); key > highestKey {
+			back, highestKey = l, key
 		}
 	}
-	if heaviest == nil {
+	if back == nil {
 		return q.evictShare(w)
 	}
-	last := heaviest.last()
+	last := back.last()
 	q.drop(last)
 	return last
 }
 
-// evictShare takes the last waiter of w's sort, if its organisation has had more of its
-// share than that of w.
+// evictShare removes and returns the last waiter of w's workload, if its organisation has
+// used more of its share than w's; otherwise it returns nil.
 func (q *queue) evictShare(w *Waiter) *Waiter {
-	l := q.lineOf(w.Request.Work)
-	if l == nil || w.Request.Organisation == "" || l.last().tag <= q.shares.next(w.Request.Organisation) {
+	l := q.subqueueOf(w.Request.Work)
+	if l == nil || w.Request.Organisation == "" || l.last().startTag <= q.shares.startTag(w.Request.Organisation) {
 		return nil
 	}
 	last := l.last()
@@ -228,25 +233,25 @@
 	return last
 }
 
-// ahead returns the number of waiters that go before w, which is new.
-func (q *queue) ahead(w *Waiter) int {
-	w.tag = q.shares.next(w.Request.Organisation)
-	own, n := q.weight(w.Request.Work), 0
-	for _, l := range q.lines {
+// countAhead returns the number of waiters that start before w, which isn't queued yet.
+func (q *queue) countAhead(w *Waiter) int {
+	w.startTag = q.shares.startTag(w.Request.Organisation)
+	own, n := q.sortKey(w.Request.Work), 0
+	for _, l := range q.subqueues {
 		switch {
 		case l.work == w.Request.Work:
-			n += l.ahead(w)
-		case q.weight(l.work) <= own:
+			n += l.countAhead(w)
+		case q.sortKey(l.work) <= own:
 			n += l.list.Len()
 		}
 	}
 	return n
 }
 
-// ahead returns the number of the line's waiters that go before w.
-func (l *line) ahead(w *Waiter) int {
+// countAhead returns the number of waiters in the subqueue that start before w.
+func (l *subqueue) countAhead(w *Waiter) int {
 	n := 0
-	for e := l.list.Front(); e != nil && !w.ahead(e.Value.(*Waiter)); e = e.Next() {
+	for e := l.list.Front(); e != nil && !w.overtakes(e.Value.(*Waiter)); e = e.Next() {
 		n++
 	}
 	return n
--- a/coordination/gate/slowdown.go
+++ b/coordination/gate/slowdown.go
@@ -7,55 +7,58 @@
 )
 
 const (
-	// slowdownTTL is how long a told figure counts. It fades towards the host's usual over
-	// this time: a host that shares its processors changes many times a second, and a
-	// backend server that is asked for nothing tells no new one.
+	// slowdownTTL is how long a reported slowness counts. The slowdown decays to none over
+	// this time: the speed of a host with shared processors changes many times a second,
+	// and a backend server that receives no requests sends no new report.
 	slowdownTTL = 300 * time.Millisecond
-	// usualFalls and usualRises are how fast the usual figure follows those told: slow
-	// moments are short and only ever raise them, so that it follows lower ones.
-	usualFalls = 200 * time.Millisecond
-	usualRises = 10 * time.Second
-	// usualStep bounds the time that one figure stands for.
-	usualStep = 100 * time.Millisecond
-	// leastSlowdown is the least slowdown that is one, and mostSlowdown the most that is
-	// believed.
-	leastSlowdown = 1.1
-	mostSlowdown  = 16
-	// elsewhereLeast is how much sooner a request must be served on a host that isn't slow
-	// to be sent on: the way there and back again takes a few milliseconds.
-	elsewhereLeast = 10 * time.Millisecond
+	// baselineFallTime and baselineRiseTime are the time constants of the baseline towards
+	// lower and higher reports. Slow periods are short and can only raise the reported
+	// slowness, so the baseline follows lower reports much faster.
+	baselineFallTime = 200 * time.Millisecond
+	baselineRiseTime = 10 * time.Second
+	// maxBaselineStep bounds the time since the previous report by which a report is
+	// weighted in the baseline.
+	maxBaselineStep = 100 * time.Millisecond
+	// minSlowdown is the least ratio that counts as a slowdown. maxSlowdown caps it, as a
+	// higher one is not credible.
+	minSlowdown = 1.1
+	maxSlowdown = 16
+	// minRerouteGain is the least service time that a request must save on a host without a
+	// slowdown to be rerouted: the round trip takes a few milliseconds.
+	minRerouteGain = 10 * time.Millisecond
 )
 
-// slowdown is how many times as long as usual work takes on the host at this moment, by
-// the figures that its backend server tells. These count the server's own speed as well,
-// which is learnt, so that only what passes is left. The zero value was never told
-// anything. It is safe for concurrent use; a lost race loses one figure.
+// slowdown estimates the current slowdown of the host: the factor by which work takes longer
+// than usual. It is derived from the slowness that the backend server reports. Since that
+// includes the server's own speed, a moving average of the reports serves as the baseline, so
+// that only temporary changes count. The zero value has no report. It is safe for concurrent
+// use; concurrent updates may lose one report.
 type slowdown struct {
-	figure atomic.Uint64 // float64
-	usual  atomic.Uint64 // float64
-	at     atomic.Int64  // Unix nanoseconds; 0 before the first
+	slowness  atomic.Uint64 // float64
+	baseline  atomic.Uint64 // float64
+	updatedAt atomic.Int64  // Unix nanoseconds; 0 before the first report
 }
 
-// tell notes a figure that the backend server has told.
-func (s *slowdown) tell(figure float64, now time.Time) {
+// observe adds a slowness that the backend server has reported.
+func (s *slowdown) observe(slowness float64, now time.Time) {
 	at := now.UnixNano()
-	last := s.at.Swap(at)
-	s.figure.Store(math.Float64bits(figure))
+	last := s.updatedAt.Swap(at)
+	s.slowness.Store(math.Float64bits(slowness))
 	if last == 0 {
-		s.usual.Store(math.Float64bits(figure))
+		s.baseline.Store(math.Float64bits(slowness))
 		return
 	}
-	usual, follows := math.Float64frombits(s.usual.Load()), usualRises
-	if figure < usual {
-		follows = usualFalls
+	baseline, timeConstant := math.Float64frombits(s.baseline.Load()), baselineRiseTime
+	if slowness < baseline {
+		timeConstant = baselineFallTime
 	}
-	gain := float64(min(max(at-last, 0), int64(usualStep))) / float64(follows)
-	s.usual.Store(math.Float64bits(usual + gain*(figure-usual)))
+	gain := float64(min(max(at-last, 0), int64(maxBaselineStep))) / float64(timeConstant)
+	s.baseline.Store(math.Float64bits(baseline + gain*(slowness-baseline)))
 }
 
-// get returns the slowdown: 1 as usual, also where nothing recent is known.
-func (s *slowdown) get(now time.Time) float64 {
-	at := s.at.Load()
+// current returns the slowdown at now; 1 for none, or without a recent report.
+func (s *slowdown) current(now time.Time) float64 {
+	at := s.updatedAt.Load()
 	if at == 0 {
 		return 1
 	}
@@ -63,34 +66,34 @@
 	if age >= int64(slowdownTTL) {
 		return 1
 	}
-	factor := math.Float64frombits(s.figure.Load()) / math.Float64frombits(s.usual.Load())
-	if factor < leastSlowdown {
+	factor := math.Float64frombits(s.slowness.Load()) / math.Float64frombits(s.baseline.Load())
+	if factor < minSlowdown {
 		return 1
 	}
-	fresh := 1 - float64(max(age, 0))/float64(slowdownTTL)
-	return 1 + fresh*(min(factor, mostSlowdown)-1)
+	weight := 1 - float64(max(age, 0))/float64(slowdownTTL)
+	return 1 + weight*(min(factor, maxSlowdown)-1)
 }
 
-// Slowed notes how long work takes on the host at this moment, in parts of what it takes
-// on any; above 0.
-func (g *Gate) Slowed(figure float64, now time.Time) { g.slowdown.tell(figure, now) }
+// Slowed records the slowness that the backend server reports at now: the time that work takes
+// on the host, as a multiple of the time that it takes on a reference host; above 0.
+func (g *Gate) Slowed(slowness float64, now time.Time) { g.slowdown.observe(slowness, now) }
 
-// Slowdown returns how many times as long as usual work takes on the host at this moment;
-// 1 as usual, also where the backend server doesn't tell.
-func (g *Gate) Slowdown(now time.Time) float64 { return g.slowdown.get(now) }
+// Slowdown returns the factor by which work takes longer than usual on the host at now; 1 for
+// none, or without a recent report of the backend server.
+func (g *Gate) Slowdown(now time.Time) float64 { return g.slowdown.current(now) }
 
-// elsewhere reports whether a request is better sent to another backend server: it would
-// be served sooner there, as this host is slow at this moment, and its entry node can
-// choose again.
-func (g *Gate) elsewhere(r Request, now time.Time) bool {
+// shouldReroute reports whether a request should be refused so that its entry node sends it to
+// another backend server: the host has a slowdown, and the request would be served sooner
+// elsewhere.
+func (g *Gate) shouldReroute(r Request, now time.Time) bool {
 	if !r.Elsewhere {
 		return false
 	}
-	slow := g.slowdown.get(now)
-	if slow == 1 {
+	slowdown := g.slowdown.current(now)
+	if slowdown == 1 {
 		return false
 	}
-	times := g.times.Of(r.Work)
+	times := g.serviceTimes.Of(r.Work)
 	usual := times.average()
-	return times.slowed(usual, slow)-usual >= elsewhereLeast
+	return times.slowed(usual, slowdown)-usual >= minRerouteGain
 }
--- a/coordination/gate/slowdown_test.go
+++ b/coordination/gate/slowdown_test.go
@@ -10,7 +10,7 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-func TestSlowdownFadesToTheUsual(t *testing.T) {
+func TestSlowdownDecays(t *testing.T) {
 	g := New()
 	must.Eq(t, 1, g.Slowdown(start))
 	g.Slowed(1, start)
@@ -22,65 +22,65 @@
 		must.InDelta(t, want, g.Slowdown(start.Add(age)), 0.001, must.Sprint(age))
 	}
 	g.Slowed(1e9, start)
-	must.Eq(t, mostSlowdown, g.Slowdown(start))
+	must.Eq(t, maxSlowdown, g.Slowdown(start))
 }
 
-// The figures of a server that is always slow, or always fast, tell of its speed: only
-// what passes is a slowdown.
-func TestSpeedOfAServerIsNoSlowdown(t *testing.T) {
-	for _, usual := range []float64{0.7, 1, 1.7} {
+// The slowness that a backend server reports includes its own speed, whether high or low. Only a
+// temporary change is a slowdown.
+func TestServersOwnSpeedIsNoSlowdown(t *testing.T) {
+	for _, baseline := range []float64{0.7, 1, 1.7} {
 		g, now := New(), start
-		g.Slowed(2.5*usual, now) // its first answer comes in a slow moment
-		tell := func(figure float64, d time.Duration) {
+		g.Slowed(2.5*baseline, now) // the first report is from a slow period
+		report := func(slowness float64, d time.Duration) {
 			for end := now.Add(d); now.Before(end); now = now.Add(10 * time.Millisecond) {
-				g.Slowed(figure, now)
+				g.Slowed(slowness, now)
 			}
 		}
-		tell(usual, 2*time.Second)
+		report(baseline, 2*time.Second)
 		must.Eq(t, 1, g.Slowdown(now))
 		for range 20 {
-			tell(2.5*usual, 90*time.Millisecond)
+			report(2.5*baseline, 90*time.Millisecond)
 			must.InDelta(t, 2.5, g.Slowdown(now), 0.2)
-			tell(usual, 510*time.Millisecond)
+			report(baseline, 510*time.Millisecond)
 			must.Eq(t, 1, g.Slowdown(now))
 		}
-		tell(2.5*usual, time.Minute) // it has become slow
+		report(2.5*baseline, time.Minute) // it has become slow permanently
 		must.Eq(t, 1, g.Slowdown(now))
 	}
 }
 
-// What is learnt of service times is free of slow moments, and the part that doesn't grow
-// in them is learnt too.
+// The estimated service times exclude the effect of slowdowns, and the part of the service time
+// that doesn't grow with a slowdown is estimated too.
 func TestSlowMomentsDontSpoilServiceTimes(t *testing.T) {
 	const own, calls = 100 * time.Millisecond, 50 * time.Millisecond
 	g, w := New(), model.WorkOf(model.KindInteractive)
 	for i := range 1000 {
-		took, slow := own+calls, 1.0
+		took, slowdown := own+calls, 1.0
 		if i%6 == 0 {
-			took, slow = own*5/2+calls, 2.5
+			took, slowdown = own*5/2+calls, 2.5
 		}
 		g.used.Add(1)
-		g.ReleaseSlowed(w, took, slow, start)
+		g.ReleaseSlowed(w, took, slowdown, start)
 	}
-	for range 100 { // a moment that has nearly passed tells nothing
+	for range 100 { // a slowdown that has almost decayed teaches nothing
 		g.used.Add(1)
 		g.ReleaseSlowed(w, own+calls, 1.001, start)
 	}
-	times := g.times.Of(w)
+	times := g.serviceTimes.Of(w)
 	must.InDelta(t, float64(own+calls), float64(g.Typical(w)), float64(5*time.Millisecond))
 	must.InDelta(t, float64(own+calls), float64(g.Work()), float64(5*time.Millisecond))
 	must.InDelta(t, float64(own*5/2+calls), float64(times.slowed(times.average(), 2.5)), float64(10*time.Millisecond))
 }
 
-// A request is refused while the host is slow where its entry node can choose again, and
-// served where that would gain less than the way costs.
-func TestRequestIsSentOnFromASlowHost(t *testing.T) {
+// A request is refused while the host has a slowdown if its entry node can reroute it, and is
+// served if rerouting would gain less than the round trip costs.
+func TestRequestIsReroutedFromASlowHost(t *testing.T) {
 	g := New()
 	g.Update(Limits{Slots: 4, Connections: 4, QueueLength: 4}, start)
 	long, short := model.WorkOf(model.KindInteractive), model.WorkOf(model.KindNonRepeatable)
 	for range 64 {
-		g.times.add(long, 200*time.Millisecond)
-		g.times.add(short, 5*time.Millisecond)
+		g.serviceTimes.add(long, 200*time.Millisecond)
+		g.serviceTimes.add(short, 5*time.Millisecond)
 	}
 	enter := func(work model.Work, elsewhere bool) outcome.Reason {
 		r := Request{Work: work, Deadline: start.Add(time.Hour), Due: start.Add(time.Minute), Elsewhere: elsewhere}
@@ -91,10 +91,10 @@
 		return reason
 	}
 	g.Slowed(0.7, start)
-	must.Eq(t, "", enter(long, true), must.Sprint("as usual"))
+	must.Eq(t, "", enter(long, true), must.Sprint("no slowdown"))
 	g.Slowed(2.5*0.7, start)
 	must.Eq(t, outcome.ReasonHostSlow, enter(long, true))
-	must.Eq(t, "", enter(long, false), must.Sprint("nobody else"))
+	must.Eq(t, "", enter(long, false), must.Sprint("no other backend server"))
 	must.Eq(t, "", enter(short, true))
-	must.Eq(t, "", enter(model.WorkOf(model.KindBulk), true), must.Sprint("nothing known"))
+	must.Eq(t, "", enter(model.WorkOf(model.KindBulk), true), must.Sprint("no service times yet"))
 }
--- a/coordination/gate/wait_test.go
+++ b/coordination/gate/wait_test.go
@@ -12,31 +12,31 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// busy returns a gate whose slots are all in use by requests that take 200 ms.
-func busy(t *testing.T, slots int) *Gate {
-	g := full(t, Limits{Slots: slots, Connections: slots, QueueLength: 100})
+// busyGate returns a gate whose slots are all in use by requests that take 200 ms.
+func busyGate(t *testing.T, slots int) *Gate {
+	g := fullGate(t, Limits{Slots: slots, Connections: slots, QueueLength: 100})
 	for range 64 {
-		g.times.add(model.WorkOf(model.KindInteractive), 200*time.Millisecond)
+		g.serviceTimes.add(model.WorkOf(model.KindInteractive), 200*time.Millisecond)
 	}
 	return g
 }
 
-// Without a bound, requests of tabla-mesh trouble-3 waited for most of their
-// target and were then answered late in place of others: 2,483 late and 1,913
-// in time of 6,233.
+// Without a wait bound, requests wait for most of their target and are then answered
+// late in place of others. In one overload scenario this made 2,483 of 6,233 requests
+// late, and only 1,913 were answered in time.
 func TestWaitThatWouldEndTooLateIsRefusedAtOnce(t *testing.T) {
-	g := busy(t, 4) // a slot becomes free each 50 ms
+	g := busyGate(t, 4) // a slot becomes free every 50 ms
 	var log []string
 	queued := 0
 	for range 10 {
 		w := waiter(model.KindInteractive, time.Hour, "w", &log)
-		w.Request.Due = start.Add(350 * time.Millisecond) // 200 ms of work
+		w.Request.Due = start.Add(350 * time.Millisecond) // of which 200 ms are the service time
 		_, reason := g.Acquire(w, start)
 		if reason == "" {
 			queued++
 			continue
 		}
-		must.Eq(t, outcome.ReasonQueueFull, reason, must.Sprint("not the request's deadline"))
+		must.Eq(t, outcome.ReasonQueueFull, reason, must.Sprint("the deadline isn't the reason"))
 	}
 	must.Eq(t, 3, queued)
 }
