--- a/coordination/balance/uneven_test.go
+++ b/coordination/balance/uneven_test.go
@@ -128,7 +128,7 @@
 	g, deadline := u.gates[server], began.Add(4*unevenTarget)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	reason := g.Enter(ctx, gate.Request{Work: unevenWork, Deadline: deadline, Due: began.Add(unevenTarget), Elsewhere: elsewhere}, time.Now)
+	reason := g.Enter(ctx, gate.Request{Work: unevenWork, Deadline: deadline, Due: began.Add(unevenTarget), Reroutable: elsewhere}, time.Now)
 	if reason != "" {
 		return Result{Outcome: Cancelled, Load: u.report(g)}, reason
 	}
@@ -136,7 +136,7 @@
 	took := time.Duration(size * slow / speed * float64(unevenMean))
 	time.Sleep(took)
 	if u.told {
-		g.Slowed(u.slowness(server)/speed, time.Now())
+		g.ReportSlowness(u.slowness(server)/speed, time.Now())
 	}
 	g.ReleaseSlowed(unevenWork, took, known, time.Now())
 	return Result{Outcome: OK, Load: u.report(g), Work: unevenWork, Typical: g.Typical(unevenWork)}, ""
@@ -152,7 +152,7 @@
 // report returns what an entry node reads of a gate's load.
 func (u *uneven) report(g *gate.Gate) *Load {
 	l := g.Load()
-	told := Load{Used: l.Used, Slots: l.Slots, Queued: l.Queued, Work: g.Work(), Slowdown: g.Slowdown(time.Now())}
+	told := Load{Used: l.Used, Slots: l.Slots, Queued: l.Queued, Work: g.MeanServiceTime(), Slowdown: g.Slowdown(time.Now())}
 	read, err := ParseLoad(told.String())
 	if err != nil {
 		panic(err)
--- a/coordination/gate/gate.go
+++ b/coordination/gate/gate.go
@@ -83,9 +83,9 @@
 	return Load{Used: int(g.used.Load()), Slots: int(g.slots.Load()), Queued: int(g.queued.Load())}
 }
 
-// Work returns the mean time that a request holds a slot; 0 before the first
-// request has completed.
-func (g *Gate) Work() time.Duration { return g.serviceTimes.all.average() }
+// MeanServiceTime returns the mean time for which a request holds a slot; 0 before
+// the first request has completed.
+func (g *Gate) MeanServiceTime() time.Duration { return g.serviceTimes.all.average() }
 
 // Typical returns the mean service time of a workload; 0 before its first
 // request has completed. It doesn't decay while no requests complete.
--- a/coordination/gate/queue.go
+++ b/coordination/gate/queue.go
@@ -23,9 +23,9 @@
 	Organisation string
 	// Weight is the organisation's weight, above 0.
 	Weight float64
-	// Elsewhere reports whether the entry node can send the request to another
+	// Reroutable reports whether the entry node can send the request to another
 	// backend server at no cost but the network round trip.
-	Elsewhere bool
+	Reroutable bool
 }
 
 // Waiter is a request that waits, or may have to wait, for a slot.
--- a/coordination/gate/slowdown.go
+++ b/coordination/gate/slowdown.go
@@ -74,9 +74,9 @@
 	return 1 + weight*(min(factor, maxSlowdown)-1)
 }
 
-// Slowed records the slowness that the backend server reports at now: the time that work takes
-// on the host, as a multiple of the time that it takes on a reference host; above 0.
-func (g *Gate) Slowed(slowness float64, now time.Time) { g.slowdown.observe(slowness, now) }
+// ReportSlowness records the slowness that the backend server reports at now: the time that
+// work takes on the host, as a multiple of the time that it takes on a reference host; above 0.
+func (g *Gate) ReportSlowness(slowness float64, now time.Time) { g.slowdown.observe(slowness, now) }
 
 // Slowdown returns the factor by which work takes longer than usual on the host at now; 1 for
 // none, or without a recent report of the backend server.
@@ -86,7 +86,7 @@
 // another backend server: the host has a slowdown, and the request would be served sooner
 // elsewhere.
 func (g *Gate) shouldReroute(r Request, now time.Time) bool {
-	if !r.Elsewhere {
+	if !r.Reroutable {
 		return false
 	}
 	slowdown := g.slowdown.current(now)
--- a/coordination/gate/slowdown_test.go
+++ b/coordination/gate/slowdown_test.go
@@ -13,15 +13,15 @@
 func TestSlowdownDecays(t *testing.T) {
 	g := New()
 	must.Eq(t, 1, g.Slowdown(start))
-	g.Slowed(1, start)
+	g.ReportSlowness(1, start)
 	must.Eq(t, 1, g.Slowdown(start))
-	g.Slowed(2.5, start)
+	g.ReportSlowness(2.5, start)
 	for age, want := range map[time.Duration]float64{
 		-time.Millisecond: 2.5, 0: 2.5, slowdownTTL / 2: 1.75, slowdownTTL: 1, time.Hour: 1,
 	} {
 		must.InDelta(t, want, g.Slowdown(start.Add(age)), 0.001, must.Sprint(age))
 	}
-	g.Slowed(1e9, start)
+	g.ReportSlowness(1e9, start)
 	must.Eq(t, maxSlowdown, g.Slowdown(start))
 }
 
@@ -30,10 +30,10 @@
 func TestServersOwnSpeedIsNoSlowdown(t *testing.T) {
 	for _, baseline := range []float64{0.7, 1, 1.7} {
 		g, now := New(), start
-		g.Slowed(2.5*baseline, now) // the first report is from a slow period
+		g.ReportSlowness(2.5*baseline, now) // the first report is from a slow period
 		report := func(slowness float64, d time.Duration) {
 			for end := now.Add(d); now.Before(end); now = now.Add(10 * time.Millisecond) {
-				g.Slowed(slowness, now)
+				g.ReportSlowness(slowness, now)
 			}
 		}
 		report(baseline, 2*time.Second)
@@ -68,7 +68,7 @@
 	}
 	times := g.serviceTimes.Of(w)
 	must.InDelta(t, float64(own+calls), float64(g.Typical(w)), float64(5*time.Millisecond))
-	must.InDelta(t, float64(own+calls), float64(g.Work()), float64(5*time.Millisecond))
+	must.InDelta(t, float64(own+calls), float64(g.MeanServiceTime()), float64(5*time.Millisecond))
 	must.InDelta(t, float64(own*5/2+calls), float64(times.slowed(times.average(), 2.5)), float64(10*time.Millisecond))
 }
 
@@ -83,16 +83,16 @@
 		g.serviceTimes.add(short, 5*time.Millisecond)
 	}
 	enter := func(work model.Work, elsewhere bool) outcome.Reason {
-		r := Request{Work: work, Deadline: start.Add(time.Hour), Due: start.Add(time.Minute), Elsewhere: elsewhere}
+		r := Request{Work: work, Deadline: start.Add(time.Hour), Due: start.Add(time.Minute), Reroutable: elsewhere}
 		reason := g.Enter(t.Context(), r, func() time.Time { return start })
 		if reason == "" {
 			g.Release(work, 0, start)
 		}
 		return reason
 	}
-	g.Slowed(0.7, start)
+	g.ReportSlowness(0.7, start)
 	must.Eq(t, "", enter(long, true), must.Sprint("no slowdown"))
-	g.Slowed(2.5*0.7, start)
+	g.ReportSlowness(2.5*0.7, start)
 	must.Eq(t, outcome.ReasonHostSlow, enter(long, true))
 	must.Eq(t, "", enter(long, false), must.Sprint("no other backend server"))
 	must.Eq(t, "", enter(short, true))
--- a/coordination/pace/lane.go
+++ b/coordination/pace/lane.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Config configures a Lane.
+// Config configures a Shaper.
 type Config struct {
 	// BytesPerSecond is the rate at which responses are sent.
 	BytesPerSecond float64
@@ -35,8 +35,8 @@
 	return Config{BytesPerSecond: LinkShare * bitsPerSecond / 8, InitialSize: 128 << 10, SizeGain: 0.2}
 }
 
-// Lane admits and paces the large responses on a link. It is safe for concurrent use.
-type Lane struct {
+// Shaper admits and paces the large responses on a link. It is safe for concurrent use.
+type Shaper struct {
 	cfg Config
 
 	mu sync.Mutex
@@ -52,27 +52,27 @@
 	smallAt    time.Time
 }
 
-// New returns a lane.
-func New(cfg Config) *Lane { return &Lane{cfg: cfg, meanSize: cfg.InitialSize} }
+// New returns a shaper.
+func New(cfg Config) *Shaper { return &Shaper{cfg: cfg, meanSize: cfg.InitialSize} }
 
-// Ticket is the reservation of link capacity for one admitted response. It is used
+// Reservation is the reservation of link capacity for one admitted response. It is used
 // by one goroutine.
-type Ticket struct {
-	lane *Lane
+type Reservation struct {
+	shaper *Shaper
 	// left is the number of reserved bytes that are not sent yet.
 	left float64
 }
 
-// Small counts a small response of the given size, in bytes, that is sent at once.
-// Large responses are delayed for it: otherwise they would use the whole link, and
-// the small responses, of which a caller may need several for one request, would
+// CountSmall counts a small response of the given size, in bytes, that is sent at
+// once. Large responses are delayed for it: otherwise they would use the whole link,
+// and the small responses, of which a caller may need several for one request, would
 // queue behind them.
-func (l *Lane) Small(now time.Time, bytes int64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.schedule(now, float64(bytes))
-	l.smallBytes = l.recentSmallBytes(now) + float64(bytes)
-	l.smallAt = now
+func (s *Shaper) CountSmall(now time.Time, bytes int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.schedule(now, float64(bytes))
+	s.smallBytes = s.recentSmallBytes(now) + float64(bytes)
+	s.smallAt = now
 }
 
 // smallWindow is the time constant with which the rate of small responses is
@@ -81,8 +81,8 @@
 const smallWindow = time.Second
 
 // recentSmallBytes returns the decayed sum of the sizes of small responses at now.
-func (l *Lane) recentSmallBytes(now time.Time) float64 {
-	return l.smallBytes * math.Exp(-max(0, now.Sub(l.smallAt)).Seconds()/smallWindow.Seconds())
+func (s *Shaper) recentSmallBytes(now time.Time) float64 {
+	return s.smallBytes * math.Exp(-max(0, now.Sub(s.smallAt)).Seconds()/smallWindow.Seconds())
 }
 
 // minLargeShare is the least part of the rate that is assumed to be left to large
@@ -93,83 +93,83 @@
 // responses at the rate that small ones, which go first, leave. If those weren't
 // counted, the wait would be underestimated, by a fifth where they use a fifth of
 // the link.
-func (l *Lane) drainTime(now time.Time, bytes float64) time.Duration {
-	free := l.cfg.BytesPerSecond - l.recentSmallBytes(now)/smallWindow.Seconds()
-	free = max(free, minLargeShare*l.cfg.BytesPerSecond)
+func (s *Shaper) drainTime(now time.Time, bytes float64) time.Duration {
+	free := s.cfg.BytesPerSecond - s.recentSmallBytes(now)/smallWindow.Seconds()
+	free = max(free, minLargeShare*s.cfg.BytesPerSecond)
 	return time.Duration(bytes / free * float64(time.Second))
 }
 
 // schedule returns when a number of bytes may be sent, and delays the next piece by
-// the time that they take. l.mu must be held.
-func (l *Lane) schedule(now time.Time, bytes float64) time.Time {
-	if l.nextSend.Before(now) {
-		l.nextSend = now
+// the time that they take. s.mu must be held.
+func (s *Shaper) schedule(now time.Time, bytes float64) time.Time {
+	if s.nextSend.Before(now) {
+		s.nextSend = now
 	}
-	due := l.nextSend
-	l.nextSend = l.nextSend.Add(l.sendTime(bytes))
+	due := s.nextSend
+	s.nextSend = s.nextSend.Add(s.sendTime(bytes))
 	return due
 }
 
-// Ask reserves link capacity for a response of the mean size, unless the backlog is
-// longer than wait. It returns the backlog. If it returns a reservation, Done must
+// Reserve reserves link capacity for a response of the mean size, unless the backlog
+// is longer than wait. It returns the backlog. If it returns a reservation, Done must
 // be called in the end.
-func (l *Lane) Ask(now time.Time, wait time.Duration) (t *Ticket, backlog time.Duration, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	backlog = l.backlog(now)
+func (s *Shaper) Reserve(now time.Time, wait time.Duration) (r *Reservation, backlog time.Duration, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	backlog = s.backlog(now)
 	if backlog > wait {
 		return nil, backlog, false
 	}
-	l.pending += l.meanSize
-	return &Ticket{lane: l, left: l.meanSize}, backlog, true
+	s.pending += s.meanSize
+	return &Reservation{shaper: s, left: s.meanSize}, backlog, true
 }
 
 // Backlog returns how long the link is busy with the admitted responses and with
 // what is being sent.
-func (l *Lane) Backlog(now time.Time) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.backlog(now)
+func (s *Shaper) Backlog(now time.Time) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.backlog(now)
 }
 
-// backlog is Backlog with l.mu held.
-func (l *Lane) backlog(now time.Time) time.Duration {
-	return l.drainTime(now, l.pending) + max(0, l.nextSend.Sub(now))
+// backlog is Backlog with s.mu held.
+func (s *Shaper) backlog(now time.Time) time.Duration {
+	return s.drainTime(now, s.pending) + max(0, s.nextSend.Sub(now))
 }
 
-// Size corrects the reservation to the size of the response, in bytes, once that is
-// known.
-func (t *Ticket) Size(bytes float64) {
-	l := t.lane
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.pending += bytes - t.left
-	t.left = bytes
-	l.meanSize += l.cfg.SizeGain * (bytes - l.meanSize)
+// SetSize corrects the reservation to the size of the response, in bytes, once that
+// is known.
+func (r *Reservation) SetSize(bytes float64) {
+	s := r.shaper
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.pending += bytes - r.left
+	r.left = bytes
+	s.meanSize += s.cfg.SizeGain * (bytes - s.meanSize)
 }
 
 // Done releases the part of the reservation that was not sent. Further calls have no
 // effect.
-func (t *Ticket) Done() {
-	t.lane.mu.Lock()
-	defer t.lane.mu.Unlock()
-	t.lane.pending -= t.left
-	t.left = 0
+func (r *Reservation) Done() {
+	r.shaper.mu.Lock()
+	defer r.shaper.mu.Unlock()
+	r.shaper.pending -= r.left
+	r.left = 0
 }
 
 // Piece counts a piece of the given size, in bytes, as sent, and returns how long
 // to wait before sending it.
-func (t *Ticket) Piece(now time.Time, bytes int) time.Duration {
-	l := t.lane
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	sent := min(t.left, float64(bytes))
-	t.left -= sent
-	l.pending -= sent
-	return l.schedule(now, float64(bytes)).Sub(now)
+func (r *Reservation) Piece(now time.Time, bytes int) time.Duration {
+	s := r.shaper
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	sent := min(r.left, float64(bytes))
+	r.left -= sent
+	s.pending -= sent
+	return s.schedule(now, float64(bytes)).Sub(now)
 }
 
 // sendTime returns how long the link takes to send a number of bytes.
-func (l *Lane) sendTime(bytes float64) time.Duration {
-	return time.Duration(bytes / l.cfg.BytesPerSecond * float64(time.Second))
+func (s *Shaper) sendTime(bytes float64) time.Duration {
+	return time.Duration(bytes / s.cfg.BytesPerSecond * float64(time.Second))
 }
--- a/coordination/pace/search.go
+++ b/coordination/pace/search.go
@@ -38,16 +38,16 @@
 	bestBacklog time.Duration
 }
 
-// Looking reports whether a new host should be tried rather than Best.
-func (s *Search) Looking() bool { return !s.selected && s.tried < quickTries }
+// TryAnother reports whether a new host should be tried rather than Best.
+func (s *Search) TryAnother() bool { return !s.selected && s.tried < quickTries }
 
-// Asked reports whether a host was tried before.
-func (s *Search) Asked() bool { return s.tried > 0 }
+// Tried reports whether a host was tried before.
+func (s *Search) Tried() bool { return s.tried > 0 }
 
 // Wait returns how long the response may wait for the link of the host that is
 // tried now. left is the time until the response is due.
 func (s *Search) Wait(left time.Duration) time.Duration {
-	if s.Looking() {
+	if s.TryAnother() {
 		return left / quickWaitDivisor
 	}
 	return left / patientWaitDivisor
--- a/coordination/pace/search_test.go
+++ b/coordination/pace/search_test.go
@@ -20,7 +20,7 @@
 type simulation struct {
 	t        *testing.T
 	rng      *rand.Rand
-	lanes    []*Lane
+	shapers  []*Shaper
 	events   events
 	order    int
 	now      time.Time
@@ -75,35 +75,35 @@
 
 // linkPolicy tries hosts for a request and returns the reservation at the one that
 // admits it; nil if none does. left is the time until the response is due.
-type linkPolicy func(sim *simulation, left time.Duration) *Ticket
+type linkPolicy func(sim *simulation, left time.Duration) *Reservation
 
 // fixedWait tries four hosts, with a wait of at most a sixth of the target.
-func fixedWait(sim *simulation, _ time.Duration) *Ticket {
+func fixedWait(sim *simulation, _ time.Duration) *Reservation {
 	for _, i := range sim.rng.Perm(simulatedHosts)[:4] {
 		sim.tries++
-		if t, _, ok := sim.lanes[i].Ask(sim.now, simulatedTarget/6); ok {
-			return t
+		if r, _, ok := sim.shapers[i].Reserve(sim.now, simulatedTarget/6); ok {
+			return r
 		}
 	}
 	return nil
 }
 
 // withSearch tries hosts as Search selects them, at most four times.
-func withSearch(sim *simulation, left time.Duration) *Ticket {
+func withSearch(sim *simulation, left time.Duration) *Reservation {
 	var s Search
 	order := sim.rng.Perm(simulatedHosts)
 	for try := range 4 {
 		i := order[try]
-		if !s.Looking() {
+		if !s.TryAnother() {
 			if best, ok := s.Best(); ok {
 				_, err := fmt.Sscan(string(best), &i)
 				must.NoError(sim.t, err)
 			}
 		}
 		sim.tries++
-		t, backlog, ok := sim.lanes[i].Ask(sim.now, s.Wait(left))
+		r, backlog, ok := sim.shapers[i].Reserve(sim.now, s.Wait(left))
 		if ok {
-			return t
+			return r
 		}
 		s.Refused(model.NodeID(fmt.Sprint(i)), backlog)
 	}
@@ -113,15 +113,15 @@
 // request makes one attempt of a caller that sent its first attempt at began.
 func (sim *simulation) request(choose linkPolicy, began time.Time, retries int) {
 	sent := sim.now
-	t := choose(sim, simulatedTarget)
-	if t == nil {
+	r := choose(sim, simulatedTarget)
+	if r == nil {
 		sim.refused(choose, began, retries)
 		return
 	}
 	size := min(sim.lognormal(90e3, 0.6), 540e3)
 	sim.after(time.Duration(sim.lognormal(float64(180*time.Millisecond), 0.8)), func() {
-		t.Size(size)
-		wait := t.Piece(sim.now, int(size)) + t.lane.sendTime(size)
+		r.SetSize(size)
+		wait := r.Piece(sim.now, int(size)) + r.shaper.sendTime(size)
 		sim.after(wait, func() { sim.answered(sim.now.Sub(began), sim.now.Sub(sent)) })
 	})
 }
@@ -154,7 +154,7 @@
 func simulate(t *testing.T, choose linkPolicy, load float64) (inTime float64, sim *simulation) {
 	sim = &simulation{t: t, rng: rand.New(rand.NewPCG(1, 2)), now: begin, outcomes: make(map[string]int)}
 	for range simulatedHosts {
-		sim.lanes = append(sim.lanes, New(Config{BytesPerSecond: simulatedRate, InitialSize: 128 << 10, SizeGain: 0.2}))
+		sim.shapers = append(sim.shapers, New(Config{BytesPerSecond: simulatedRate, InitialSize: 128 << 10, SizeGain: 0.2}))
 	}
 	const requests = 20000
 	gap := 90e3 / (load * simulatedHosts * simulatedRate) * float64(time.Second)
--- a/transport/forward/paced.go
+++ b/transport/forward/paced.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Pacer says how long to wait before a piece of a body is sent. *pace.Ticket
+// Pacer returns how long to wait before a piece of a body is sent. *pace.Reservation
 // is one.
 type Pacer interface {
 	Piece(now time.Time, bytes int) time.Duration
--- a/transport/inbound/bulk.go
+++ b/transport/inbound/bulk.go
@@ -38,7 +38,7 @@
 		return forward.Relay(w, g.refuse(req, outcome.ReasonMalformed, false))
 	}
 	sendBy := g.cfg.Now().Add(time.Duration(left)*time.Millisecond + sendGrace)
-	ticket, backlog, ok := g.cfg.Lane.Ask(g.cfg.Now(), time.Duration(wait)*time.Millisecond)
+	ticket, backlog, ok := g.cfg.Lane.Reserve(g.cfg.Now(), time.Duration(wait)*time.Millisecond)
 	if !ok {
 		return forward.Relay(w, g.refuseLink(req, backlog))
 	}
@@ -61,14 +61,14 @@
 // relayPaced sends an answer at the lane's rate, few at a time: answers that are
 // sent side by side all end late. Small ones go at once. A caller that takes nothing keeps its place
 // until sendBy.
-func (g *Gate) relayPaced(w http.ResponseWriter, req *http.Request, resp *http.Response, t *pace.Ticket, sendBy time.Time) error {
+func (g *Gate) relayPaced(w http.ResponseWriter, req *http.Request, resp *http.Response, t *pace.Reservation, sendBy time.Time) error {
 	size := resp.ContentLength
 	if size >= 0 && size <= forward.PieceBytes {
-		g.cfg.Lane.Small(g.cfg.Now(), size)
+		g.cfg.Lane.CountSmall(g.cfg.Now(), size)
 		return relay(w, req, resp, nil)
 	}
 	if size > 0 {
-		t.Size(float64(size))
+		t.SetSize(float64(size))
 	}
 	ctx, cancel := context.WithDeadline(req.Context(), sendBy)
 	defer cancel()
--- a/transport/inbound/check.go
+++ b/transport/inbound/check.go
@@ -77,7 +77,7 @@
 	if c.Organisation = h.Get(outcome.HeaderOrganisation); c.Organisation != "" {
 		c.Weight = g.cfg.Weight(c.Organisation)
 	}
-	c.Elsewhere = h[outcome.HeaderElsewhere] != nil
+	c.Reroutable = h[outcome.HeaderElsewhere] != nil
 	c.fingerprint, err = crash.Fingerprint(req)
 	return err == nil
 }
--- a/transport/inbound/gate.go
+++ b/transport/inbound/gate.go
@@ -53,7 +53,7 @@
 	// Backend sends to the backend server.
 	Backend *forward.Client
 	// Lane paces large answers to other nodes, and Uploads admits the bodies of uploads from them.
-	Lane, Uploads *pace.Lane
+	Lane, Uploads *pace.Shaper
 	// DrainGrace is how long a leaving backend server still takes requests that
 	// other nodes have sent before they knew.
 	DrainGrace time.Duration
@@ -236,7 +236,7 @@
 	if err != nil {
 		return err
 	}
-	g.cfg.Lane.Small(g.cfg.Now(), headBytes+max(0, resp.ContentLength))
+	g.cfg.Lane.CountSmall(g.cfg.Now(), headBytes+max(0, resp.ContentLength))
 	return relay(w, req, resp, nil)
 }
 
--- a/transport/inbound/load.go
+++ b/transport/inbound/load.go
@@ -13,7 +13,7 @@
 		}
 		g.unreadable.Inc()
 	case told && l.Slowdown > 0:
-		g.core.Slowed(l.Slowdown, g.cfg.Now())
+		g.core.ReportSlowness(l.Slowdown, g.cfg.Now())
 	}
 }
 
--- a/transport/inbound/receive.go
+++ b/transport/inbound/receive.go
@@ -26,7 +26,7 @@
 // way to a host waits on the same link, and several at a time delay every small request behind them
 // by more than their callers wait.
 type turn struct {
-	ticket *pace.Ticket
+	ticket *pace.Reservation
 	end    func() // once
 }
 
@@ -39,12 +39,12 @@
 		return nil
 	}
 	wait := min(u.Left/turnPart, longestWait)
-	ticket, _, ok := g.cfg.Uploads.Ask(now, wait)
+	ticket, _, ok := g.cfg.Uploads.Reserve(now, wait)
 	if !ok {
 		return nil
 	}
 	if r.ContentLength >= 0 {
-		ticket.Size(float64(r.ContentLength))
+		ticket.SetSize(float64(r.ContentLength))
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
--- a/transport/inbound/receive_test.go
+++ b/transport/inbound/receive_test.go
@@ -73,9 +73,9 @@
 // Guards against uploads that wait for a link which can't take them in time.
 func TestUploadIsRefusedAtOnceWhereTheLinkIsBusyForTooLong(t *testing.T) {
 	g, addr, instance := uploadGate(t)
-	ticket, _, ok := g.cfg.Uploads.Ask(time.Now(), 0)
+	ticket, _, ok := g.cfg.Uploads.Reserve(time.Now(), 0)
 	must.True(t, ok)
-	ticket.Size(1 << 20) // more than ten seconds on a link of 1 Mbit/s
+	ticket.SetSize(1 << 20) // more than ten seconds on a link of 1 Mbit/s
 	_, br := uploadTo(t, addr, instance, 4)
 	resp, err := http.ReadResponse(br, nil)
 	must.NoError(t, err)
--- a/transport/outbound/links.go
+++ b/transport/outbound/links.go
@@ -18,8 +18,8 @@
 	if c, ok := b.PickNode(now, x.service, servers, x.p.cfg.Self, &x.tried); ok {
 		return c, nil
 	}
-	if x.links.Looking() {
-		want.Near = x.links.Asked()
+	if x.links.TryAnother() {
+		want.Near = x.links.Tried()
 		c, err := b.PickFor(now, x.service, servers, &x.tried, want)
 		if err == nil {
 			return c, nil
