--- a/coordination/gate/cold_test.go
+++ b/coordination/gate/cold_test.go
@@ -101,7 +101,7 @@
 			l.sendRequests(120, serviceTime, 10*time.Second)
 			must.LessEq(t, 22, l.maxPerSecond(), must.Sprint(name))
 			must.GreaterEq(t, 100, len(l.admitted), must.Sprintf("%s: the capacity should be used", name))
-			must.GreaterEq(t, 900, l.refused, must.Sprintf("%s: the other requests should be refused", name))
+			must.GreaterEq(t, 900, l.refused, must.Sprintf("%s: the other requests should be refused early", name))
 		})
 	}
 }
@@ -130,8 +130,8 @@
 	})
 }
 
-// A restarted node process doesn't know what its predecessor admitted within the last second. The
-// requests admitted by both must stay within the limit.
+// A restarted node process has no record of the requests that its predecessor admitted within the
+// last second. The requests admitted by both must stay within the limit.
 func TestRestartedGateStartsWithoutABurst(t *testing.T) {
 	simulateCold(t, 6, time.Hour, func(l *coldLoad) {
 		began, first := time.Now(), 0
--- a/coordination/gate/estimate.go
+++ b/coordination/gate/estimate.go
@@ -75,8 +75,8 @@
 // the variation between requests outweighs the effect of the slowdown.
 const minLearningSlowdown = 1.5
 
-// fixedPartGain is the weight of one sample in fixedPart. It is small because a single
-// request says little: the service time that it would have had otherwise isn't known.
+// fixedPartGain is the weight of one sample in fixedPart. It is small because the service time
+// that a single request would have had without the slowdown isn't known.
 const fixedPartGain = 0.02
 
 // add adds the service time of a request, as it is without a slowdown.
--- a/coordination/gate/gate.go
+++ b/coordination/gate/gate.go
@@ -25,7 +25,7 @@
 	SlowStart time.Duration
 	// Since is when the backend server was first announced.
 	Since time.Time
-	// Draining makes the gate refuse all new requests.
+	// Draining makes the gate refuse all new and queued requests.
 	Draining bool
 	// Cold bounds the requests while the backend server is cold.
 	Cold ColdLimits
--- a/coordination/gate/slowdown_test.go
+++ b/coordination/gate/slowdown_test.go
@@ -62,7 +62,7 @@
 		g.used.Add(1)
 		g.ReleaseSlowed(w, took, slowdown, start)
 	}
-	for range 100 { // a slowdown that has almost decayed teaches nothing
+	for range 100 { // nothing is learned from a slowdown that has almost decayed
 		g.used.Add(1)
 		g.ReleaseSlowed(w, own+calls, 1.001, start)
 	}
