--- a/coordination/attempt/alone_test.go
+++ b/coordination/attempt/alone_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestServiceUsesLessOfItsBoundWhileAnotherRepeats(t *testing.T) {
+func TestUsableBudgetShrinksWhileAnotherServiceRetries(t *testing.T) {
 	allowed := func(prepare func(b *Budget)) (n int) {
 		b := NewBudget(config())
 		prepare(b)
@@ -32,34 +32,35 @@
 	must.Eq(t, int(cfg.Safety*cfg.Slack), allowed(func(b *Budget) {
 		for b.Repeat(begin, "other", GainWhole) {
 		}
-	}), must.Sprint("never less than its own part"))
+	}), must.Sprint("never less than the Safety fraction"))
 }
 
-func TestRepeatsThatGainLessLeaveTheRest(t *testing.T) {
+func TestPartGainRetriesLeaveBudgetForWholeGain(t *testing.T) {
 	cfg := config()
 	b := NewBudget(cfg)
-	less, all := 0, 0
+	partGain, all := 0, 0
 	for b.Repeat(begin, "s", GainPart) {
-		less++
+		partGain++
 	}
-	all = less
+	all = partGain
 	for b.Repeat(begin, "s", GainWhole) {
 		all++
 	}
-	must.Eq(t, int(partOfBound*cfg.Alone*cfg.Slack), less)
+	must.Eq(t, int(partGainShare*cfg.Alone*cfg.Slack), partGain)
 	must.Eq(t, int(cfg.Alone*cfg.Slack), all)
 }
 
-// play is a fleet in which one service calls another: each run makes so many calls, which
-// enter at the hosts of the calling service's backend servers.
-type play struct {
-	calls                       int     // of each run
-	callingRefused, callRefused float64 // of what a service gets
-	own                         int     // requests of callers for the service called, for each one for the calling
+// nestedCallsSim simulates a fleet in which one service calls another. The nested calls
+// enter the mesh at the hosts of the calling service's backend servers.
+type nestedCallsSim struct {
+	calls                       int     // nested calls of each run
+	callingRefused, callRefused float64 // fractions of the requests that the calling and the called service refuse
+	direct                      int     // callers' requests for the called service for each one for the calling service
 }
 
-// worst returns the largest part of the bound that the repeats at the service called took.
-func (p play) worst(cfg BudgetConfig) float64 {
+// highestUsage runs the simulation and returns the largest fraction of the called service's
+// retry budget that its retries used.
+func (p nestedCallsSim) highestUsage(cfg BudgetConfig) float64 {
 	const nodes, hosts = 24, 8 // hosts of the calling service are the first ones
 	rng := rand.New(rand.NewPCG(1, 1))
 	budgets := fleetOf(nodes, cfg)
@@ -80,7 +81,7 @@
 		}
 	}
 	for at := time.Duration(0); at < 40*time.Second; at += time.Second / 400 {
-		for range p.own {
+		for range p.direct {
 			send(at, budgets[rng.IntN(nodes)], false)
 		}
 		b := budgets[rng.IntN(nodes)]
@@ -98,24 +99,24 @@
 		}
 		b.Told(begin.Add(at), "calling", host.Strain(begin.Add(at)))
 	}
-	return called.worst(cfg)
+	return called.highestUsage(cfg)
 }
 
-func TestFleetKeepsItsBoundWithCallsOfRepeatedRuns(t *testing.T) {
-	for name, p := range map[string]play{
-		"only the service called refuses": {calls: 2, callRefused: 0.6, own: 1},
-		"and has no other requests":       {calls: 2, callRefused: 0.6},
-		"only the calling one refuses":    {calls: 3, callingRefused: 0.6},
-		"it refuses, and one is called":   {calls: 1, callingRefused: 0.6, own: 1},
-		"both refuse":                     {calls: 2, callingRefused: 0.6, callRefused: 0.6, own: 1},
-		"both refuse, three calls":        {calls: 3, callingRefused: 0.6, callRefused: 0.6},
-		"the calling one refuses little":  {calls: 3, callingRefused: 0.05, callRefused: 0.6},
+func TestFleetStaysWithinBudgetWithNestedCallsOfRetries(t *testing.T) {
+	for name, p := range map[string]nestedCallsSim{
+		"only the called service refuses":                      {calls: 2, callRefused: 0.6, direct: 1},
+		"only the called service refuses, no direct requests":  {calls: 2, callRefused: 0.6},
+		"only the calling service refuses, no direct requests": {calls: 3, callingRefused: 0.6},
+		"only the calling service refuses, one nested call":    {calls: 1, callingRefused: 0.6, direct: 1},
+		"both services refuse":                                 {calls: 2, callingRefused: 0.6, callRefused: 0.6, direct: 1},
+		"both services refuse, three nested calls":             {calls: 3, callingRefused: 0.6, callRefused: 0.6},
+		"the calling service refuses little":                   {calls: 3, callingRefused: 0.05, callRefused: 0.6},
 	} {
-		worst := p.worst(config())
-		t.Log(name, worst)
-		must.LessEq(t, 1, worst, must.Sprint(name))
+		usage := p.highestUsage(config())
+		t.Log(name, usage)
+		must.LessEq(t, 1, usage, must.Sprint(name))
 		if p.callRefused > 0 {
-			must.Greater(t, 0.6, worst, must.Sprint(name, "the bound is used"))
+			must.Greater(t, 0.6, usage, must.Sprint(name, "most of the budget is used"))
 		}
 	}
 }
--- a/coordination/attempt/budget_test.go
+++ b/coordination/attempt/budget_test.go
@@ -14,13 +14,13 @@
 	return BudgetConfig{Ratio: 0.2, Slack: 56, Window: 10 * time.Second, Safety: DefaultSafety, Alone: 0.85}
 }
 
-// arrivals are the times of what one service got.
+// arrivals holds the times at which requests and retries reached one service.
 type arrivals struct{ requests, repeats []time.Duration }
 
-// worst returns the largest part of the fleet's bound that the repeats of any
-// window took.
-func (a *arrivals) worst(cfg BudgetConfig) float64 {
-	worst := 0.0
+// highestUsage returns the largest fraction of the fleet's retry budget that the retries
+// of any window used.
+func (a *arrivals) highestUsage(cfg BudgetConfig) float64 {
+	highest := 0.0
 	for _, from := range a.repeats {
 		requests, repeats := 0.0, 0.0
 		for _, at := range a.requests {
@@ -33,12 +33,12 @@
 				repeats++
 			}
 		}
-		worst = max(worst, repeats/(cfg.Ratio*requests+cfg.Slack))
+		highest = max(highest, repeats/(cfg.Ratio*requests+cfg.Slack))
 	}
-	return worst
+	return highest
 }
 
-// fleetOf returns the budgets of so many nodes.
+// fleetOf returns the budgets of a fleet of nodes.
 func fleetOf(nodes int, cfg BudgetConfig) []*Budget {
 	budgets := make([]*Budget, nodes)
 	for i := range budgets {
@@ -48,10 +48,11 @@
 	return budgets
 }
 
-// In kalo-kit, day unlisted-4 with seed 23, both services shed half of their
-// requests. The calls made by repeated requests of the first count as repeats
-// at the second, which got 871 of 850 allowed with a safety of 0.6.
-func TestFleetKeepsItsBoundWhenBothServicesOfACallFail(t *testing.T) {
+// Guards against exceeding the budget when both the calling and the called service shed
+// half of their requests: the nested calls of the calling service's retries count as
+// retries at the called one. With a Safety of 0.6 it got 871 retries where 850 were
+// allowed.
+func TestFleetStaysWithinBudgetWhenCallingAndCalledServiceFail(t *testing.T) {
 	const nodes = 12
 	cfg := config()
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -76,22 +77,23 @@
 			call(at, true)
 		}
 	}
-	must.LessEq(t, 1, called.worst(cfg))
-	must.Greater(t, 0.6, called.worst(cfg), must.Sprint("the bound is used"))
+	must.LessEq(t, 1, called.highestUsage(cfg))
+	must.Greater(t, 0.6, called.highestUsage(cfg), must.Sprint("most of the budget is used"))
 }
 
-// A third of the requests of one service call another one, which refuses six tenths of
-// what it gets. Users' servers answer 500 where a call fails, the request is run again
-// elsewhere, and its call counts as a repeat at the service called: 1,147 of 905 allowed,
-// at a service with a third of the other's requests. It is the requests that call which
-// are run again, not a third of them: a half of the larger service's bound is more
-// than all of the smaller one's. Evidence: of the called service's own repeats some 400
-// had been sent, 240 of them refused once more; the other 700 were calls.
-func TestFleetKeepsItsBoundWhereOnlyThoseThatCallAreRunAgain(t *testing.T) {
+// Guards against exceeding the budget when a third of one service's requests call another
+// service, which refuses six tenths of its requests. Backend servers answer 500 when a
+// nested call fails, the request is retried elsewhere, and the nested call of the retry
+// counts as a retry at the called service. All retried requests are ones with a nested
+// call, not just a third of them, and half of the larger service's budget is more than the
+// whole budget of the called one, which has a third of the requests: it got 1,147 retries
+// where 905 were allowed. Some 400 of them were its own retries, of which 240 were refused
+// again; the other 700 were nested calls.
+func TestFleetStaysWithinBudgetWhenOnlyRequestsWithNestedCallsAreRetried(t *testing.T) {
 	const (
 		nodes   = 12
-		calling = 3   // each so many requests, one calls
-		refused = 0.6 // of what the called service gets
+		calling = 3   // one in so many requests makes a nested call
+		refused = 0.6 // fraction of requests that the called service refuses
 	)
 	cfg := config()
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -123,12 +125,12 @@
 			call(at, true)
 		}
 	}
-	t.Log("part of the bound:", called.worst(cfg))
-	must.LessEq(t, 1, called.worst(cfg))
-	must.Greater(t, 0.4, called.worst(cfg), must.Sprint("the bound is used"))
+	t.Log("fraction of the budget used:", called.highestUsage(cfg))
+	must.LessEq(t, 1, called.highestUsage(cfg))
+	must.Greater(t, 0.4, called.highestUsage(cfg), must.Sprint("most of the budget is used"))
 }
 
-func TestRepeatsNeedRequestsBeyondTheSlack(t *testing.T) {
+func TestRetriesBeyondTheSlackNeedRequests(t *testing.T) {
 	b := NewBudget(config())
 	allowed := 0
 	for range 1000 {
@@ -139,7 +141,7 @@
 	cfg := config()
 	must.Eq(t, int(cfg.Alone*cfg.Slack), allowed)
 	must.False(t, b.Repeat(begin.Add(cfg.Window-time.Second), "s", GainWhole))
-	must.True(t, b.Repeat(begin.Add(2*cfg.Window), "s", GainWhole), must.Sprint("old repeats are forgotten"))
+	must.True(t, b.Repeat(begin.Add(2*cfg.Window), "s", GainWhole), must.Sprint("retries outside the window no longer count"))
 }
 
 func TestSlackIsSharedByTheNodes(t *testing.T) {
@@ -159,8 +161,9 @@
 	must.True(t, b.Repeat(begin, "s", GainWhole))
 }
 
-// Guards against rounding every node's part down, which leaves up to one repeat per node unused.
-func TestPartsOfALargeFleetAddUpToTheBound(t *testing.T) {
+// Guards against rounding every node's share down, which leaves up to one retry per node
+// unused.
+func TestNodeSharesOfALargeFleetAddUpToTheBudget(t *testing.T) {
 	for _, nodes := range []int{1000, 2000} {
 		rnd := rand.New(rand.NewPCG(7, uint64(nodes)))
 		requests, granted := 0, 0
@@ -179,7 +182,7 @@
 				}
 			}
 		}
-		bound := DefaultSafety * (0.2*float64(requests) + 1000)
-		must.Between(t, 0.95*bound, float64(granted), 1.05*bound)
+		budget := DefaultSafety * (0.2*float64(requests) + 1000)
+		must.Between(t, 0.95*budget, float64(granted), 1.05*budget)
 	}
 }
--- a/coordination/attempt/comeback.go
+++ b/coordination/attempt/comeback.go
@@ -2,111 +2,113 @@
 
 import "time"
 
-// Bounds of the time after which a refused caller comes back, as parts of the time
-// that it has left. Callers keep to a third of it at most; the spread keeps those
-// refused together from coming back together.
+// Bounds of the default Retry-After delay, as fractions of the time that the caller still
+// waits. Callers wait for at most a third of that time. The random spread keeps callers
+// that are refused at the same time from retrying at the same time.
 const (
-	comeBackLeast  = 0.08
-	comeBackSpread = 0.22
+	defaultAfterMin    = 0.08
+	defaultAfterSpread = 0.22
 )
 
-// Bounds of that time where backend servers refuse although they have free slots,
-// as parts of the time until the answer is due: the next one that is asked is as
-// likely to take the request now as later, and only an early answer is in time
-// (TestCallersComeBackInTimeWhereServersHaveRoom).
+// Bounds of the Retry-After delay if backend servers refuse requests although they have
+// free slots, as fractions of the time until the answer is due. The next backend server is
+// as likely to accept the request now as later, and only an early answer is in time
+// (TestRetryAfterIsShortWhenServersHaveFreeSlots).
 const (
-	soonLeast  = 0.05
-	soonSpread = 0.15
+	freeSlotsAfterMin    = 0.05
+	freeSlotsAfterSpread = 0.15
 )
 
-// Bounds of that time where the service's backend servers have had no room for seconds, as
-// parts of the time that the caller has left: it comes back as late as it would. One that
-// comes back while there still is no room takes the place of another that would be served
-// in time, and is itself served late.
+// Bounds of the Retry-After delay if the service's backend servers have been overloaded
+// for seconds, as fractions of the time that the caller still waits. They make the caller
+// retry as late as callers are willing to. A caller that retries while there still is no
+// free slot takes the place of another that would be served in time, and is itself served
+// late.
 const (
-	crowdedLeast  = 0.25
-	crowdedSpread = 0.08
+	overloadAfterMin    = 0.25
+	overloadAfterSpread = 0.08
 )
 
-// crowded is the load from which a service's backend servers have had no room for seconds:
-// a moment's line raises an average over seconds less.
-const crowded = 1.15
+// sustainedOverload is the load above which a service's backend servers have been
+// overloaded for seconds. A momentary queue raises an average over seconds by less.
+const sustainedOverload = 1.15
 
-// Refused is what is known of a request that is refused.
+// Refused describes a refused request, as input for ComeBack.
 type Refused struct {
-	// Left is the time that the caller still waits.
+	// Left is the time for which the caller still waits.
 	Left time.Duration
-	// Due is the time until the answer is due; 0 where it is late already.
+	// Due is the time until the answer is due; 0 or less if it is late already.
 	Due time.Duration
-	// Room says that the backend server that refused last has free slots: it is
-	// not load that keeps the request from being served.
+	// Room says that the backend server that refused last has free slots: the request is
+	// not refused because of load.
 	Room bool
-	// Load is what the service's backend servers run and what waits in front of them,
-	// over the last seconds, as a part of their slots; 0 where it isn't known.
+	// Load is the number of requests that the service's backend servers run and queue,
+	// averaged over the last seconds, as a fraction of their slots; 0 if it isn't known.
 	Load float64
-	// Lot is a random number below 1.
+	// Lot is a random number in [0, 1) that spreads the delay.
 	Lot float64
 }
 
-// ComeBack returns when the caller of a refused request should come back.
+// ComeBack returns the Retry-After delay for a refused request.
 func ComeBack(r Refused) time.Duration {
-	after := float64(r.Left) * (comeBackLeast + comeBackSpread*r.Lot)
+	after := float64(r.Left) * (defaultAfterMin + defaultAfterSpread*r.Lot)
 	switch {
 	case r.Room && r.Due > 0:
-		after = float64(r.Due) * (soonLeast + soonSpread*r.Lot)
-	case r.Load > crowded:
-		after = float64(r.Left) * (crowdedLeast + crowdedSpread*r.Lot)
+		after = float64(r.Due) * (freeSlotsAfterMin + freeSlotsAfterSpread*r.Lot)
+	case r.Load > sustainedOverload:
+		after = float64(r.Left) * (overloadAfterMin + overloadAfterSpread*r.Lot)
 	}
 	return max(time.Duration(after), time.Millisecond)
 }
 
-// proofLeast and proofSpread bound after how long the caller of a node comes back whose
-// configuration isn't proved to be current. Proofs come about once a second where the way
-// to the platform or to other nodes is open.
+// Bounds of the Retry-After delay of a node whose configuration isn't proved to be
+// current. Proofs arrive about once a second while the node can reach the platform or
+// other nodes.
 const (
-	proofLeast  = 200 * time.Millisecond
-	proofSpread = 400 * time.Millisecond
+	unprovedAfterMin    = 200 * time.Millisecond
+	unprovedAfterSpread = 400 * time.Millisecond
 )
 
-// ComeBackToProof returns when the caller of such a node should come back. lot is a random
-// number below 1.
+// ComeBackToProof returns the Retry-After delay of a node whose configuration isn't proved
+// to be current. lot is a random number in [0, 1) that spreads the delay.
 func ComeBackToProof(lot float64) time.Duration {
-	return proofLeast + time.Duration(lot*float64(proofSpread))
+	return unprovedAfterMin + time.Duration(lot*float64(unprovedAfterSpread))
 }
 
-// Callers of a faulty route retry after a time in which operators may have corrected the
-// configuration.
+// Bounds of the Retry-After delay of a faulty route: operators may have corrected the
+// configuration by then.
 const (
-	faultLeast  = time.Second
-	faultSpread = time.Second
+	routeFaultAfterMin    = time.Second
+	routeFaultAfterSpread = time.Second
 )
 
-// ComeBackToFault returns when the caller of a faulty route should come back. lot is a random
-// number below 1.
+// ComeBackToFault returns the Retry-After delay of a faulty route. lot is a random number
+// in [0, 1) that spreads the delay.
 func ComeBackToFault(lot float64) time.Duration {
-	return faultLeast + time.Duration(lot*float64(faultSpread))
+	return routeFaultAfterMin + time.Duration(lot*float64(routeFaultAfterSpread))
 }
 
-// startLeast is the least time after which a caller comes back to a node that has
-// just started: about as long as one takes to get the configuration and to know
-// backend servers. Much longer makes late what could be in time.
-const startLeast = 200 * time.Millisecond
+// startAfterMin is the shortest Retry-After delay, before the spread, of a node that has
+// just started: about as long as a node takes to fetch the configuration and to discover
+// the backend servers. A much longer one would delay answers that could be in time.
+const startAfterMin = 200 * time.Millisecond
 
-// StartTime is how long after its start a node may still be getting to know the
-// backend servers.
+// StartTime is how long after its start a node may still be discovering the backend
+// servers.
 const StartTime = 2 * time.Second
 
-// ComeBackToStart returns when the caller of a node that has been up for so long,
-// and doesn't know yet where to send the request, should come back: after as long
-// again, so that a start that takes longer isn't met with ever more attempts, and
-// after StartTime at the latest, spread by a quarter.
+// ComeBackToStart returns the Retry-After delay of a node that has not discovered a backend
+// server for the request yet. The delay is as long as the node has been up, so that callers
+// back off exponentially during a slow start, but at most StartTime. lot, a random number
+// in [0, 1), spreads it by a quarter in both directions.
 func ComeBackToStart(up time.Duration, lot float64) time.Duration {
-	wait := min(max(up, startLeast), StartTime)
+	wait := min(max(up, startAfterMin), StartTime)
 	return time.Duration(float64(wait) * (0.75 + lot/2))
 }
 
-// ComeBackAfterEnd returns when the caller of a node that ends so long from now should come
-// back: once the next process is there, spread over StartTime.
+// ComeBackAfterEnd returns the Retry-After delay of a node that shuts down after the time
+// left: the next process is running by then. lot, a random number in [0, 1), spreads the
+// delay over a further StartTime.
 func ComeBackAfterEnd(left time.Duration, lot float64) time.Duration {
 	return max(0, left) + time.Duration(lot*float64(StartTime))
 }
--- a/coordination/attempt/gain.go
+++ b/coordination/attempt/gain.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Gain says what a repeat is worth to its caller.
+// Gain is what a retry is worth to the caller. Retries with more gain may use more of the
+// retry budget.
 type Gain uint8
 
 // The gains.
 const (
-	// GainWhole is that of a request that stands for itself, or of the only call of a
-	// run that fails: with it, all is answered.
+	// GainWhole means that an answer to this retry completes the work: the request is
+	// independent of others, or it is the only failing call of its run.
 	GainWhole Gain = iota
-	// GainPart is that of a request which gains nothing unless others that have failed
-	// too are answered as well.
+	// GainPart means that an answer to this retry is useless unless other requests that
+	// have failed as well are answered too.
 	GainPart
 )
 
@@ -23,24 +24,26 @@
 	return "whole"
 }
 
-// SettleTime is how long a refused request waits for what becomes of those that were sent
-// together with it, where there are any: a refusal is there in a few milliseconds.
+// SettleTime is how long a refused request waits for the outcomes of the other requests of
+// its group, if it has any, before its gain is determined. A refusal arrives within a few
+// milliseconds.
 const SettleTime = 4 * time.Millisecond
 
-// partOfBound is how much of the bound repeats may use that gain something only together
-// with others: the rest is left to those that gain something alone.
-const partOfBound = 0.75
+// partGainShare is the fraction of the usable budget that is open to retries with
+// GainPart. The rest is reserved for those with GainWhole.
+const partGainShare = 0.75
 
-// part returns how much of the bound repeats with the gain may use. Where a service has no
-// more than what it would share with others, all repeats may use that.
-func (b *Budget) part(g Gain) float64 {
+// gainShare returns the fraction of the usable budget that retries with the gain may use.
+// All retries may use the whole of it if Alone allows no more than Safety.
+func (b *Budget) gainShare(g Gain) float64 {
 	if g == GainPart && b.ordersByGain() {
-		return partOfBound
+		return partGainShare
 	}
 	return 1
 }
 
-// OrdersByGain reports whether the gain of a repeat decides anything.
+// OrdersByGain reports whether the budget prefers retries with more gain. If not, the gain
+// needn't be determined.
 func (b *Budget) OrdersByGain() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,8 +53,8 @@
 // ordersByGain is OrdersByGain with b.mu held.
 func (b *Budget) ordersByGain() bool { return b.cfg.Alone > b.cfg.Safety }
 
-// GainOf returns the gain of a repeat where so many of the requests that expire together
-// with it have failed.
+// GainOf returns the gain of a retry of a request. failing is the number of other requests
+// in its group that have failed.
 func GainOf(failing int) Gain {
 	if failing > 0 {
 		return GainPart
--- a/coordination/attempt/gain_test.go
+++ b/coordination/attempt/gain_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// runsAnswered plays runs that make two calls each to a service that refuses 0.55 of what
-// it gets, and returns how many had both answered. Repeats are granted by what they gain,
-// or to whoever asks first.
+// runsAnswered simulates runs with two nested calls each to a service that refuses 0.55 of
+// its requests, and returns the number of runs with both calls answered. Retries are
+// granted by gain, or else first come, first served.
 func runsAnswered(byGain bool) (answered int) {
 	const (
 		runs    = 4000
@@ -18,13 +18,13 @@
 	)
 	rng := rand.New(rand.NewPCG(1, 1))
 	b := NewBudget(config())
-	to := NewTogether()
+	groups := NewTogether()
 	for i := range runs {
 		now := begin.Add(time.Duration(i) * 10 * time.Millisecond)
 		var calls [2]*Member
 		for c := range calls {
 			b.Request(now, "called")
-			calls[c] = to.Join(now, "called", now.Add(time.Second))
+			calls[c] = groups.Join(now, "called", now.Add(time.Second))
 			if rng.Float64() < refused {
 				calls[c].Failing()
 			}
@@ -45,7 +45,7 @@
 			}
 			m.Leave(ok)
 			if !ok {
-				break // the run fails, and the other call with it
+				break // the run fails, and its other call with it
 			}
 			served++
 		}
@@ -56,8 +56,8 @@
 	return answered
 }
 
-func TestMoreRunsAreAnsweredWhereRepeatsGoWhereTheyAreEnough(t *testing.T) {
-	first, byGain := runsAnswered(false), runsAnswered(true)
-	t.Log("runs answered:", first, "where the first to ask gets a repeat,", byGain, "by gain")
-	must.Greater(t, first, byGain)
+func TestMoreRunsAreAnsweredWhenRetriesAreGrantedByGain(t *testing.T) {
+	unordered, byGain := runsAnswered(false), runsAnswered(true)
+	t.Log("runs answered:", unordered, "with retries first come, first served,", byGain, "by gain")
+	must.Greater(t, unordered, byGain)
 }
--- a/coordination/attempt/overload_test.go
+++ b/coordination/attempt/overload_test.go
@@ -9,62 +9,63 @@
 	"github.com/shoenig/test/must"
 )
 
-// Loads of a service in turn, as parts of what its slots can serve.
-var wave = []float64{1.5, 0.8}
+// loadPhases are the alternating loads of a service, as fractions of its capacity.
+var loadPhases = []float64{1.5, 0.8}
 
 const (
-	waveTime  = 2 * time.Second
-	playTime  = 40 * time.Second
-	slotCount = 40
-	meanWork  = 250 * time.Millisecond
-	inTime    = 800 * time.Millisecond
-	waitsFor  = 5 * time.Second
-	returnsOf = 2
+	phaseTime     = 2 * time.Second
+	simTime       = 40 * time.Second
+	slotCount     = 40
+	meanWorkTime  = 250 * time.Millisecond
+	target        = 800 * time.Millisecond
+	patience      = 5 * time.Second
+	callerRetries = 2
 )
 
-// visit is one attempt of a caller.
-type visit struct {
-	at, first time.Time
-	returned  int
+// callerAttempt is one attempt of a caller.
+type callerAttempt struct {
+	at, first time.Time // arrival of this attempt and of the caller's first
+	retries   int       // earlier attempts of the caller
 }
 
-// visits is a heap by time.
-type visits []visit
+// attemptHeap is a heap of attempts by arrival.
+type attemptHeap []callerAttempt
 
-func (a visits) Len() int           { return len(a) }
-func (a visits) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
-func (a visits) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *visits) Push(x any)        { *a = append(*a, x.(visit)) }
-func (a *visits) Pop() any {
+func (a attemptHeap) Len() int           { return len(a) }
+func (a attemptHeap) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
+func (a attemptHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *attemptHeap) Push(x any)        { *a = append(*a, x.(callerAttempt)) }
+func (a *attemptHeap) Pop() any {
 	last := len(*a) - 1
 	x := (*a)[last]
 	*a = (*a)[:last]
 	return x
 }
 
-// got is what callers got.
-type got struct{ asked, inTime, late, refused int }
+// results counts the requests of a simulation and how they ended.
+type results struct{ requests, inTime, late, refused int }
 
-// overload plays callers of a service whose load goes up and down. A request waits for
-// a slot for a sixth of its target at most, and not beyond when it is due. known says
-// that the returns of callers are known.
-func overload(known bool) got {
+// simulateOverload simulates callers of a service whose load goes up and down. A request
+// waits for a slot for at most a sixth of its target, and only if its answer is expected
+// in time. recognised says that the retries of callers are recognised, so that the answer
+// is due relative to the first attempt.
+func simulateOverload(recognised bool) results {
 	rng := rand.New(rand.NewPCG(3, 9))
-	var g got
-	var queue visits
-	capacity := float64(slotCount) / meanWork.Seconds()
-	for at := time.Duration(0); at < playTime; {
-		load := wave[int(at/waveTime)%len(wave)]
+	var res results
+	var queue attemptHeap
+	capacity := float64(slotCount) / meanWorkTime.Seconds()
+	for at := time.Duration(0); at < simTime; {
+		load := loadPhases[int(at/phaseTime)%len(loadPhases)]
 		at += time.Duration(rng.ExpFloat64() / (load * capacity) * float64(time.Second))
-		heap.Push(&queue, visit{at: begin.Add(at), first: begin.Add(at)})
-		g.asked++
+		heap.Push(&queue, callerAttempt{at: begin.Add(at), first: begin.Add(at)})
+		res.requests++
 	}
-	free := make([]time.Time, slotCount) // when each slot is free
+	free := make([]time.Time, slotCount) // when each slot becomes free
 	for i := range free {
 		free[i] = begin
 	}
 	for queue.Len() > 0 {
-		a := heap.Pop(&queue).(visit)
+		a := heap.Pop(&queue).(callerAttempt)
 		slot := 0
 		for i := range free {
 			if free[i].Before(free[slot]) {
@@ -75,41 +76,43 @@
 		if starts.Before(a.at) {
 			starts = a.at
 		}
-		due := a.at.Add(inTime)
-		if known {
-			due = a.first.Add(inTime)
+		due := a.at.Add(target)
+		if recognised {
+			due = a.first.Add(target)
 		}
 		waits := starts.Sub(a.at)
-		if waits > 0 && (waits > inTime/6 || starts.Add(meanWork).After(due)) {
-			g.refuse(&queue, a, due, rng)
+		if waits > 0 && (waits > target/6 || starts.Add(meanWorkTime).After(due)) {
+			res.refuse(&queue, a, due, rng)
 			continue
 		}
-		free[slot] = starts.Add(time.Duration(rng.ExpFloat64() * float64(meanWork)))
-		if free[slot].Sub(a.first) <= inTime {
-			g.inTime++
+		free[slot] = starts.Add(time.Duration(rng.ExpFloat64() * float64(meanWorkTime)))
+		if free[slot].Sub(a.first) <= target {
+			res.inTime++
 		} else {
-			g.late++
+			res.late++
 		}
 	}
-	return g
+	return res
 }
 
-func (g *got) refuse(queue *visits, a visit, due time.Time, rng *rand.Rand) {
-	if a.returned == returnsOf {
-		g.refused++
+// refuse schedules the caller's retry after a refusal, or counts the request as refused if
+// the caller has retried often enough.
+func (r *results) refuse(queue *attemptHeap, a callerAttempt, due time.Time, rng *rand.Rand) {
+	if a.retries == callerRetries {
+		r.refused++
 		return
 	}
-	after := ComeBack(Refused{Left: a.first.Add(waitsFor).Sub(a.at), Due: due.Sub(a.at), Lot: rng.Float64()})
-	heap.Push(queue, visit{at: a.at.Add(after), first: a.first, returned: a.returned + 1})
+	after := ComeBack(Refused{Left: a.first.Add(patience).Sub(a.at), Due: due.Sub(a.at), Lot: rng.Float64()})
+	heap.Push(queue, callerAttempt{at: a.at.Add(after), first: a.first, retries: a.retries + 1})
 }
 
-// A caller that was refused and comes back when its answer can only be late takes no place
-// from one that is in time: 5,582 of 7,425 are served in time in place of 3,596, and 711
-// late in place of 2,878, under a load of 1.5 and 0.8 times the slots by turns.
-func TestLateReturnsTakeNoPlace(t *testing.T) {
-	before := overload(false)
-	after := overload(true)
-	t.Logf("returns taken for new ones %+v, known %+v", before, after)
-	must.Greater(t, before.inTime+before.asked/5, after.inTime)
-	must.Less(t, before.late/2, after.late)
+// Guards against caller retries whose answers can only be late taking slots from requests
+// that would be answered in time. If retries are recognised, 5,582 of 7,425 requests are
+// answered in time and 711 late; if not, 3,596 and 2,878.
+func TestLateCallerRetriesTakeNoSlots(t *testing.T) {
+	unrecognised := simulateOverload(false)
+	recognised := simulateOverload(true)
+	t.Logf("retries not recognised: %+v, recognised: %+v", unrecognised, recognised)
+	must.Greater(t, unrecognised.inTime+unrecognised.requests/5, recognised.inTime)
+	must.Less(t, unrecognised.late/2, recognised.late)
 }
--- a/coordination/attempt/policy.go
+++ b/coordination/attempt/policy.go
@@ -6,51 +6,52 @@
 	"github.com/jacinthgate/jacinthgate/protocol/outcome"
 )
 
-// Policy bounds the attempts of one request.
+// Policy limits the attempts of one request.
 type Policy struct {
-	// MaxSends bounds the gates that are asked, those that refused before the
-	// backend server was reached included.
+	// MaxSends limits the number of gates to which the request is sent, including those
+	// that refused it before it reached the backend server.
 	MaxSends int
-	// MinLeft is the least time for which another attempt is worth making.
+	// MinLeft is the time that must be left before the deadline for another attempt.
 	MinLeft time.Duration
 }
 
-// DefaultPolicy returns the policy measured in docs/design/platform.md.
+// DefaultPolicy returns the default limits; see docs/design/platform.md.
 func DefaultPolicy() Policy { return Policy{MaxSends: 4, MinLeft: 15 * time.Millisecond} }
 
-// Progress is what has become of a request so far.
+// Progress is the state of a request after its attempts so far.
 type Progress struct {
 	// Repeatable says that the request may run more than once.
 	Repeatable bool
-	// Attempts is the number of backend servers that it may reach.
+	// Attempts is the largest number of backend servers that the request may reach.
 	Attempts int
-	// Sends is the number of gates that were asked.
+	// Sends is the number of gates to which the request was sent.
 	Sends int
-	// Reached is the number of backend servers that it has reached.
+	// Reached is the number of backend servers that the request has reached.
 	Reached int
-	// Exhausted says that there is no further gate to ask.
+	// Exhausted says that there is no further gate to send the request to.
 	Exhausted bool
-	// Left is the time until its deadline.
+	// Left is the time until the request's deadline.
 	Left time.Duration
 	// Last is the outcome of the last attempt.
 	Last outcome.Outcome
 }
 
-// Step says what to do next.
+// Step is the next action for a request without an answer.
 type Step uint8
 
 // The steps.
 const (
-	// Stop ends the request with what is known.
+	// Stop ends the request with the outcome so far.
 	Stop Step = iota
-	// Resend asks another gate. No backend server was reached, so it is no
-	// repeat.
+	// Resend sends the request to another gate. No backend server was reached, so it
+	// doesn't count as a retry.
 	Resend
-	// Repeat reaches one more backend server, and needs room in the budget.
+	// Repeat retries the request at one more backend server, if the retry budget allows
+	// it.
 	Repeat
 )
 
-// Next returns what may be done after an attempt without an answer.
+// Next returns the next action after an attempt without an answer.
 func (p Policy) Next(g Progress) Step {
 	switch {
 	case g.Exhausted, g.Sends >= p.MaxSends, g.Left < p.MinLeft:
--- a/coordination/attempt/returns.go
+++ b/coordination/attempt/returns.go
@@ -5,88 +5,92 @@
 	"time"
 )
 
-// Returns remembers the requests that were refused, so that one that comes back is
-// known: its caller has waited since its first attempt, and its answer is due as long
-// after that as any. Taken for new ones, those that can only be late take slots and
-// links from those that would be in time.
+// Returns is a bounded history of refused requests. It recognises the request with which
+// a caller retries after a refusal: the caller has waited since its first attempt, so the
+// answer is due relative to that attempt. If caller retries were treated as new requests,
+// those that can only be answered late would take slots and link capacity from requests
+// that would be answered in time.
 //
-// Attempts have identifiers of their own. A request is taken for one that was refused
-// where it asks for the same and its caller waits until the same moment. Returns is safe
-// for concurrent use.
+// Each attempt of a caller has an identifier of its own. A request is therefore taken for
+// the retry of a refused one if it has the same fingerprint and its caller waits until the
+// same time. Returns is safe for concurrent use.
 type Returns struct {
 	mu      sync.Mutex
-	refused map[uint64][]refusedOne
-	// order are the refused ones, of which that at oldest is replaced next once there are
-	// maxReturns.
-	order  []refusedKey
+	refused map[uint64][]refusal // by fingerprint
+	// order is a ring of the recorded refusals. Once it holds maxRefusals, the next one
+	// replaces that at index oldest.
+	order  []refusalKey
 	oldest int
 }
 
-// refusedOne is a request that was refused.
-type refusedOne struct {
-	// first is when its first attempt arrived, and until its caller waits until.
-	first, until time.Time
+// refusal is a recorded refusal.
+type refusal struct {
+	// first is when the caller's first attempt arrived; deadline is the time until which
+	// the caller waits.
+	first, deadline time.Time
 }
 
-type refusedKey struct {
+type refusalKey struct {
 	fingerprint uint64
-	until       time.Time
+	deadline    time.Time
 }
 
 const (
-	// maxReturns bounds the requests that are remembered: some seconds' refusals of a
-	// node that gets a few hundred requests a second.
-	maxReturns = 1024
-	// sameMoment is how far apart two attempts of one caller may say that it waits
-	// until: their ways take a few milliseconds, and they tell whole milliseconds.
-	sameMoment = 60 * time.Millisecond
+	// maxRefusals limits the recorded refusals. It covers those of some seconds at a node
+	// that gets a few hundred requests a second.
+	maxRefusals = 1024
+	// deadlineTolerance is the largest difference between deadlines that are taken to be
+	// the same: the network delay of requests is a few milliseconds, and the time that a
+	// caller waits is sent in whole milliseconds.
+	deadlineTolerance = 60 * time.Millisecond
 )
 
-// NewReturns returns an empty memory.
-func NewReturns() *Returns { return &Returns{refused: make(map[uint64][]refusedOne)} }
+// NewReturns returns an empty history.
+func NewReturns() *Returns { return &Returns{refused: make(map[uint64][]refusal)} }
 
-// First returns when the first attempt of a request arrived that arrives now, asks for
-// what has the fingerprint and whose caller waits until a moment. It reports false where none
-// was refused.
-func (r *Returns) First(fingerprint uint64, until time.Time) (first time.Time, returned bool) {
+// First looks up a request that has the fingerprint and whose caller waits until the
+// deadline. If such a request was refused, it returns the arrival time of the caller's
+// first attempt and true.
+func (r *Returns) First(fingerprint uint64, deadline time.Time) (first time.Time, found bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range r.refused[fingerprint] {
-		if d := o.until.Sub(until); d >= -sameMoment && d <= sameMoment {
+		if d := o.deadline.Sub(deadline); d >= -deadlineTolerance && d <= deadlineTolerance {
 			return o.first, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// Refused notes that a request is refused whose first attempt arrived at a time. A
-// fingerprint of 0 is none.
-func (r *Returns) Refused(fingerprint uint64, first, until time.Time) {
+// Refused records the refusal of a request. first is the arrival time of the caller's
+// first attempt, deadline the time until which the caller waits. A request with
+// fingerprint 0 has none and isn't recorded.
+func (r *Returns) Refused(fingerprint uint64, first, deadline time.Time) {
 	if fingerprint == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.remember(refusedKey{fingerprint, until})
-	r.refused[fingerprint] = append(r.refused[fingerprint], refusedOne{first: first, until: until})
+	r.enqueue(refusalKey{fingerprint, deadline})
+	r.refused[fingerprint] = append(r.refused[fingerprint], refusal{first: first, deadline: deadline})
 }
 
-// remember puts a refusal in order, in the place of the oldest where there are too many.
-func (r *Returns) remember(k refusedKey) {
-	if len(r.order) < maxReturns {
+// enqueue adds a refusal to order; once maxRefusals are recorded it evicts the oldest.
+func (r *Returns) enqueue(k refusalKey) {
+	if len(r.order) < maxRefusals {
 		r.order = append(r.order, k)
 		return
 	}
-	r.forget(r.order[r.oldest])
+	r.remove(r.order[r.oldest])
 	r.order[r.oldest] = k
-	r.oldest = (r.oldest + 1) % maxReturns
+	r.oldest = (r.oldest + 1) % maxRefusals
 }
 
-// forget drops one refusal.
-func (r *Returns) forget(k refusedKey) {
+// remove deletes one refusal from the map.
+func (r *Returns) remove(k refusalKey) {
 	all := r.refused[k.fingerprint]
 	for i := range all {
-		if all[i].until.Equal(k.until) {
+		if all[i].deadline.Equal(k.deadline) {
 			all = append(all[:i], all[i+1:]...)
 			break
 		}
--- a/coordination/attempt/returns_test.go
+++ b/coordination/attempt/returns_test.go
@@ -7,33 +7,33 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestReturnedRequestIsKnown(t *testing.T) {
+func TestRetryOfARefusedRequestIsRecognised(t *testing.T) {
 	r := NewReturns()
 	at := time.Unix(1_000_000, 0)
-	until := at.Add(5 * time.Second)
-	r.Refused(7, at, until)
-	first, returned := r.First(7, until.Add(20*time.Millisecond))
-	must.True(t, returned)
+	deadline := at.Add(5 * time.Second)
+	r.Refused(7, at, deadline)
+	first, found := r.First(7, deadline.Add(20*time.Millisecond))
+	must.True(t, found)
 	must.Eq(t, at, first)
-	_, returned = r.First(7, until.Add(time.Second))
-	must.False(t, returned, must.Sprint("another caller asks for the same"))
-	_, returned = r.First(8, until)
-	must.False(t, returned, must.Sprint("the caller asks for something else"))
+	_, found = r.First(7, deadline.Add(time.Second))
+	must.False(t, found, must.Sprint("another caller with the same request"))
+	_, found = r.First(8, deadline)
+	must.False(t, found, must.Sprint("another request of the same caller"))
 }
 
-func TestReturnsAreBounded(t *testing.T) {
+func TestRefusalHistoryIsBounded(t *testing.T) {
 	r := NewReturns()
 	at := time.Unix(1_000_000, 0)
-	for i := range 3 * maxReturns {
+	for i := range 3 * maxRefusals {
 		r.Refused(uint64(1+i%500), at, at.Add(time.Duration(i)*time.Second))
 	}
-	must.Len(t, maxReturns, r.order)
-	held := 0
+	must.Len(t, maxRefusals, r.order)
+	recorded := 0
 	for _, all := range r.refused {
-		held += len(all)
+		recorded += len(all)
 	}
-	must.Eq(t, maxReturns, held)
+	must.Eq(t, maxRefusals, recorded)
 	r.Refused(0, at, at)
-	_, returned := r.First(0, at)
-	must.False(t, returned)
+	_, found := r.First(0, at)
+	must.False(t, found)
 }
--- a/coordination/attempt/runs.go
+++ b/coordination/attempt/runs.go
@@ -6,26 +6,25 @@
 	"time"
 )
 
-// Runs are the repeated runs that are under way at this host's backend server. The calls
-// that a run makes expire at its deadline, which is how they are known: a run that is a
-// repeat makes its calls repeats. It is safe for concurrent use.
+// Runs holds the deadlines of the retries that this host's backend server is running. The
+// nested calls of a run expire at its deadline, by which they are recognised: the nested
+// calls of a retry count as retries too. It is safe for concurrent use.
 type Runs struct {
-	mu sync.Mutex
-	// deadlines are those of the runs, one each.
-	deadlines []time.Time
+	mu        sync.Mutex
+	deadlines []time.Time // one for each run
 }
 
-// NewRuns returns an empty record.
+// NewRuns returns an empty set of runs.
 func NewRuns() *Runs { return new(Runs) }
 
-// Begin adds a repeated run that ends at a deadline. End must follow.
+// Begin adds a retry that runs until the deadline at the latest. End must follow.
 func (r *Runs) Begin(deadline time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.deadlines = append(r.deadlines, deadline)
 }
 
-// End removes a run with the deadline.
+// End removes one run with the deadline.
 func (r *Runs) End(deadline time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,14 +33,14 @@
 	}
 }
 
-// Call reports whether a request of this host whose caller waits until a moment may be a
-// call of a repeated run. Some are taken for one that are none: that costs a repeat, while
-// a call that isn't known might break the bound.
-func (r *Runs) Call(until time.Time) bool {
+// Call reports whether a request of this host that expires at callDeadline may be a nested
+// call of a retry. It prefers false positives: each costs one retry of the budget, while
+// calls that it missed could exceed the budget.
+func (r *Runs) Call(callDeadline time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.ContainsFunc(r.deadlines, func(deadline time.Time) bool {
-		d := until.Sub(deadline)
-		return d >= -sameMoment && d <= sameMoment
+		d := callDeadline.Sub(deadline)
+		return d >= -deadlineTolerance && d <= deadlineTolerance
 	})
 }
--- a/coordination/attempt/strain.go
+++ b/coordination/attempt/strain.go
@@ -5,58 +5,61 @@
 	"time"
 )
 
-// Strain is the part of the bound on repeats at a service called that is taken on one
-// host, by the calls of repeated runs and by the repeats of calls. The hosts of a service
-// tell it to the nodes that send to them: those repeat no more than the services called
-// can bear.
+// Strain is the fraction of a called service's retry budget that is in use on one host, by
+// nested calls of retries and by retries of its requests. The hosts of a service report it
+// in their responses. The nodes that send to the service limit their retries by it, so
+// that they retry no more than the services called can sustain.
 type Strain float64
 
 const (
-	// strainHigh is the strain from which a service gets no more than the safe part of
-	// its bound.
-	strainHigh = 0.7
-	// strainWindows is for how many windows after that it gets no more: a pause would
-	// else end in a burst.
-	strainWindows = 1
-	// strainFull is the strain from which its requests aren't repeated: the bound of the
-	// service called is used up.
-	strainFull = 0.85
-	// strainChance is the part of the bound below which such calls are no strain: a few
-	// requests are taken for them by chance.
-	strainChance = 0.2
-	// strainGain is the weight of the newest answer in what is known of a service: a
-	// host's count is a few calls, so that several are averaged.
-	strainGain = 0.1
+	// usageHigh is the average usage from which retries to a service are confined to the
+	// Safety fraction of its budget.
+	usageHigh = 0.7
+	// usageHighWindows is the number of windows for which that limit stays in force after
+	// the usage was last high. Without this hysteresis a pause in the retries would end in
+	// a burst.
+	usageHighWindows = 1
+	// usageFull is the average usage from which no retries are sent to a service: the
+	// budget of a service that it calls is exhausted.
+	usageFull = 0.85
+	// usageNoise is the fraction of a service's budget below which nested calls of retries
+	// are ignored: a few requests are taken for such calls by chance.
+	usageNoise = 0.2
+	// usageSmoothing is the smoothing factor of the moving average of the usage that a
+	// service's hosts report. One host counts only a few calls, so several reports are
+	// averaged.
+	usageSmoothing = 0.1
 )
 
-// Percent returns the strain in whole percent, rounded up.
+// Percent returns the usage in percent, rounded up.
 func (s Strain) Percent() int { return int(math.Ceil(100 * float64(s))) }
 
-// StrainOf returns the strain of so many percent.
+// StrainOf returns the usage for a number of percent.
 func StrainOf(percent int) Strain { return Strain(float64(percent) / 100) }
 
-// Strain returns the largest strain on the services that repeated runs on this host call.
+// Strain returns the highest usage among the services to which retries on this host make
+// nested calls; 0 if there are none.
 func (b *Budget) Strain(now time.Time) Strain {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	most := 0.0
+	highest := 0.0
 	for name := range b.services {
-		w := b.at(now, name)
-		called, whole := sum(w.called), b.whole(w)
-		if called >= strainChance*whole {
-			most = max(most, (called+sum(w.repeats))/whole)
+		w := b.windowAt(now, name)
+		called, budget := sum(w.called), b.nodeBudget(w)
+		if called >= usageNoise*budget {
+			highest = max(highest, (called+sum(w.repeats))/budget)
 		}
 	}
-	return Strain(most)
+	return Strain(highest)
 }
 
-// Told takes the strain that a host of a service tells with an answer.
+// Told records the usage that a host of a service reported in a response.
 func (b *Budget) Told(now time.Time, service string, s Strain) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.at(now, service)
-	w.strain += strainGain * (float64(s) - w.strain)
-	if w.strain >= strainHigh {
-		w.strained = now
+	w := b.windowAt(now, service)
+	w.usage += usageSmoothing * (float64(s) - w.usage)
+	if w.usage >= usageHigh {
+		w.highUsageAt = now
 	}
 }
--- a/coordination/attempt/together.go
+++ b/coordination/attempt/together.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// Together knows which requests at this node expire together: the calls that a running
-// backend server makes expire at their parent's deadline, and where one of them fails,
-// the run fails with it. No header tells that they belong together. It is safe for
+// Together groups this node's requests that expire together, to recognise the nested calls
+// of one run: they expire at the deadline of the request that is run, and if one of them
+// fails, the run fails with it. No header marks the calls of a run. It is safe for
 // concurrent use.
 type Together struct {
 	mu     sync.Mutex
 	groups map[groupKey]*group
 }
 
-// groupKey names the requests for one service that expire in the same slot of time.
+// groupKey identifies the requests for one service whose deadlines are in the same slot of
+// time.
 type groupKey struct {
-	service string
-	slot    int64
+	service      string
+	deadlineSlot int64
 }
 
 const (
-	// togetherSlot is how far apart requests may say that they expire and still count as
-	// one group: they tell whole milliseconds and are on their way for less than one.
-	togetherSlot = time.Millisecond
-	// togetherStart is how far apart such requests arrive at most: others expire at the
-	// same moment by chance.
-	togetherStart = 10 * time.Millisecond
+	// deadlineSlotWidth is the length of a slot of deadlines. A request joins a group of
+	// its own slot or of an adjacent one: deadlines are sent in whole milliseconds, and a
+	// request takes less than one to arrive.
+	deadlineSlotWidth = time.Millisecond
+	// maxArrivalSpread is the longest time between the arrival of a group's first request
+	// and that of any other. Requests further apart have the same deadline by chance.
+	maxArrivalSpread = 10 * time.Millisecond
 )
 
-// group are the requests that expire together.
+// group is a set of requests that expire together.
 type group struct {
-	began            time.Time
+	firstArrival     time.Time
 	members, failing int
 }
 
-// Member is one request among those that expire together. One goroutine uses it.
+// Member is one request of a group. It must be used by one goroutine only.
 type Member struct {
 	t       *Together
 	key     groupKey
@@ -43,32 +45,32 @@
 	failing bool
 }
 
-// NewTogether returns an empty record.
+// NewTogether returns an empty set of groups.
 func NewTogether() *Together { return &Together{groups: make(map[groupKey]*group)} }
 
-// Join adds a request for a service that arrives now and whose caller waits until a
-// moment. Leave must follow.
-func (t *Together) Join(now time.Time, service string, until time.Time) *Member {
+// Join adds a request for a service that arrives now and whose caller waits until the
+// deadline. Leave must follow.
+func (t *Together) Join(now time.Time, service string, deadline time.Time) *Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m := &Member{t: t, key: groupKey{service, until.UnixNano() / int64(togetherSlot)}}
-	for _, near := range [...]int64{0, -1, 1} {
-		key := groupKey{service, m.key.slot + near}
-		if g := t.groups[key]; g != nil && now.Sub(g.began) <= togetherStart {
+	m := &Member{t: t, key: groupKey{service, deadline.UnixNano() / int64(deadlineSlotWidth)}}
+	for _, offset := range [...]int64{0, -1, 1} {
+		key := groupKey{service, m.key.deadlineSlot + offset}
+		if g := t.groups[key]; g != nil && now.Sub(g.firstArrival) <= maxArrivalSpread {
 			m.key, m.group = key, g
 			break
 		}
 	}
 	if m.group == nil {
-		m.group = &group{began: now}
+		m.group = &group{firstArrival: now}
 		t.groups[m.key] = m.group
 	}
 	m.group.members++
 	return m
 }
 
-// Failing notes that a backend server has refused or failed the request, so that only a
-// repeat can answer it.
+// Failing records that a backend server has refused or failed the request, so that only a
+// retry can get an answer.
 func (m *Member) Failing() {
 	m.t.mu.Lock()
 	defer m.t.mu.Unlock()
@@ -78,8 +80,8 @@
 	}
 }
 
-// Others returns how many other requests expire together with this one, and how many of
-// them have failed so far; one that has left without an answer counts among both.
+// Others returns the number of other requests in the group, and how many of them have
+// failed so far. A failed request that has left without an answer counts in both.
 func (m *Member) Others() (all, failing int) {
 	m.t.mu.Lock()
 	defer m.t.mu.Unlock()
@@ -90,8 +92,8 @@
 	return max(all, failing), failing
 }
 
-// Leave ends the request. One that was answered is no longer failing; any other one
-// weighs on those that expire with it for as long as they last.
+// Leave removes the request from its group. If it was answered it no longer counts as
+// failed; a failed request without an answer goes on counting for the rest of its group.
 func (m *Member) Leave(answered bool) {
 	m.t.mu.Lock()
 	defer m.t.mu.Unlock()
--- a/coordination/attempt/together_test.go
+++ b/coordination/attempt/together_test.go
@@ -7,15 +7,15 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestCallsOfARunAreKnownByTheirEnd(t *testing.T) {
-	to := NewTogether()
-	until := begin.Add(300 * time.Millisecond)
-	a := to.Join(begin, "s", until)
-	b := to.Join(begin.Add(time.Millisecond), "s", until.Add(500*time.Microsecond))
+func TestCallsOfARunAreGroupedByDeadline(t *testing.T) {
+	groups := NewTogether()
+	deadline := begin.Add(300 * time.Millisecond)
+	a := groups.Join(begin, "s", deadline)
+	b := groups.Join(begin.Add(time.Millisecond), "s", deadline.Add(500*time.Microsecond))
 	for what, other := range map[string]*Member{
-		"expires later":      to.Join(begin, "s", until.Add(5*time.Millisecond)),
-		"goes elsewhere":     to.Join(begin, "other", until),
-		"arrived much later": to.Join(begin.Add(50*time.Millisecond), "s", until),
+		"expires later":       groups.Join(begin, "s", deadline.Add(5*time.Millisecond)),
+		"for another service": groups.Join(begin, "other", deadline),
+		"arrived much later":  groups.Join(begin.Add(50*time.Millisecond), "s", deadline),
 	} {
 		all, failing := other.Others()
 		must.Eq(t, 0, all+failing, must.Sprint(what))
@@ -28,30 +28,30 @@
 	must.Eq(t, []int{1, 1}, []int{all, failing})
 	a.Leave(false)
 	_, failing = b.Others()
-	must.Eq(t, 1, failing, must.Sprint("the run has failed"))
+	must.Eq(t, 1, failing, must.Sprint("a failed call that has left still counts"))
 	b.Leave(true)
 }
 
-func TestRequestThatARepeatHasAnsweredFailsNoLonger(t *testing.T) {
-	to := NewTogether()
-	a, b := to.Join(begin, "s", begin), to.Join(begin, "s", begin)
+func TestRequestAnsweredByARetryNoLongerCountsAsFailed(t *testing.T) {
+	groups := NewTogether()
+	a, b := groups.Join(begin, "s", begin), groups.Join(begin, "s", begin)
 	a.Failing()
 	a.Leave(true)
 	_, failing := b.Others()
 	must.Eq(t, GainWhole, GainOf(failing))
 	b.Leave(true)
-	must.MapEmpty(t, to.groups)
+	must.MapEmpty(t, groups.groups)
 }
 
-func TestCallsOfARepeatedRunAreKnown(t *testing.T) {
+func TestNestedCallsOfARetryAreRecognised(t *testing.T) {
 	r := NewRuns()
-	end := begin.Add(time.Second)
-	r.Begin(end)
-	r.Begin(end)
-	must.True(t, r.Call(end.Add(3*time.Millisecond)))
-	must.False(t, r.Call(end.Add(time.Second)))
-	r.End(end)
-	must.True(t, r.Call(end))
-	r.End(end)
-	must.False(t, r.Call(end))
+	deadline := begin.Add(time.Second)
+	r.Begin(deadline)
+	r.Begin(deadline)
+	must.True(t, r.Call(deadline.Add(3*time.Millisecond)))
+	must.False(t, r.Call(deadline.Add(time.Second)))
+	r.End(deadline)
+	must.True(t, r.Call(deadline))
+	r.End(deadline)
+	must.False(t, r.Call(deadline))
 }
--- a/coordination/attempt/trail.go
+++ b/coordination/attempt/trail.go
@@ -2,29 +2,30 @@
 
 import "github.com/jacinthgate/jacinthgate/protocol/outcome"
 
-// Trail is what is known of a request after its attempts: whether another one may
-// follow, and what its caller is told otherwise.
+// Trail records the outcomes of one request's attempts. It yields whether another attempt
+// may follow and, if none does, the outcome and reason that are returned to the caller.
 type Trail struct {
-	// Progress is what Policy.Next decides by.
+	// Progress is the input of Policy.Next.
 	Progress Progress
 
 	worst  outcome.Outcome
 	reason outcome.Reason
 }
 
-// NewTrail returns the trail of a request that may reach so many backend servers.
+// NewTrail returns the trail of a request. repeatable says that it may run more than once;
+// attempts is the largest number of backend servers that it may reach.
 func NewTrail(repeatable bool, attempts int) Trail {
 	return Trail{Progress: Progress{Repeatable: repeatable, Attempts: attempts}, worst: outcome.NotRun}
 }
 
-// Sent counts a gate that was asked.
+// Sent counts a gate to which the request was sent.
 func (t *Trail) Sent() { t.Progress.Sends++ }
 
 // Reached counts a backend server that the request has reached.
 func (t *Trail) Reached() { t.Progress.Reached++ }
 
-// Note takes the outcome of an attempt and its reason. The reason that is told is
-// that of the outcome that tells most: unknown once any attempt was.
+// Note records the outcome of an attempt and its reason. The worst outcome is kept with
+// its latest reason: once the outcome of any attempt is unknown, that of the request is.
 func (t *Trail) Note(o outcome.Outcome, reason outcome.Reason) {
 	t.Progress.Last = o
 	if o == outcome.Unknown || t.worst == outcome.NotRun {
@@ -35,20 +36,20 @@
 	}
 }
 
-// NobodyLeft notes that there is no further backend server to ask.
+// NobodyLeft records that there is no further backend server to send the request to.
 func (t *Trail) NobodyLeft() {
 	if t.reason == "" {
-		t.Note(outcome.NotRun, outcome.ReasonNoEndpoint) // nobody was asked
+		t.Note(outcome.NotRun, outcome.ReasonNoEndpoint) // the request was sent nowhere
 	}
 	t.Progress.Last = outcome.NotRun
 	t.Progress.Exhausted = true
 }
 
-// Forbid notes that the request may be sent to no backend server, and why.
+// Forbid records that the request may not be sent to any backend server, and why.
 func (t *Trail) Forbid(reason outcome.Reason) {
 	t.Note(outcome.NotRun, reason)
 	t.Progress.Exhausted = true
 }
 
-// Worst returns the outcome that the caller is told, and why.
+// Worst returns the outcome and the reason that are returned to the caller.
 func (t *Trail) Worst() (outcome.Outcome, outcome.Reason) { return t.worst, t.reason }
