--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -9,31 +9,33 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// token is one retry in the units of budget.earned.
+// token is the value of one retry in budget.earned, which counts in millionths.
 const token = 1_000_000
 
-// budgetKey names one class of one organisation.
+// budgetKey identifies one class of one organisation.
 type budgetKey struct{ organisation, class string }
 
-// budget is the state of one class's retries on this node.
+// budget is the retry budget of one class on this node.
 type budget struct {
-	earned atomic.Int64  // from first attempts, in parts of a token
-	least  bucket.Bucket // from MinPerSecond
+	earned  atomic.Int64  // earned by first attempts, in fractions of a token; see token
+	minimum bucket.Bucket // granted by MinPerSecond
 }
 
-// earn adds the ratio for one first attempt.
+// earn credits the budget with ratio retries for one first attempt.
 func (b *budget) earn(cfg *Config, ratio float64) {
-	most := cfg.MaxEarned * token
+	limit := cfg.MaxEarned * token
 	for {
 		old := b.earned.Load()
-		next := min(old+int64(ratio*token), most)
+		next := min(old+int64(ratio*token), limit)
 		if next == old || b.earned.CompareAndSwap(old, next) {
 			return
 		}
 	}
 }
 
-// spend takes one retry and reports whether there was one.
+// spend takes one retry from the budget and reports whether there was one. perSecond is
+// this node's share of MinPerSecond; chance is a random number in [0, 1), see
+// bucket.Bucket.Take.
 func (b *budget) spend(now time.Time, cfg *Config, perSecond, chance float64) bool {
 	for {
 		old := b.earned.Load()
@@ -45,12 +47,12 @@
 		}
 	}
 	size := bucket.Size{PerSecond: perSecond, Burst: perSecond * cfg.MinWindow.Seconds()}
-	ok, _ := b.least.Take(now, size, chance)
+	ok, _ := b.minimum.Take(now, size, chance)
 	return ok
 }
 
-// Update makes the budgets of a snapshot's classes and swaps them in at once.
-// Budgets of classes that stay are kept.
+// Update replaces the budgets, in one atomic step, by those of the snapshot's classes. A
+// class that had a budget before keeps its state.
 func (r *Retrier) Update(s *snapshot.Snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,6 +67,8 @@
 	r.budgets.Store(&next)
 }
 
+// addBudget adds the class's budget, if it has one, to next. It takes the state from old
+// if present.
 func addBudget(next, old map[budgetKey]*budget, organisation string, c *model.Class) {
 	if c.RetryBudget == nil {
 		return
--- a/coordination/retry/config.go
+++ b/coordination/retry/config.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// Config sets the retry policy.
+// Config holds the parameters of the retry policy.
 type Config struct {
-	// MaxAttempts bounds the attempts of one request at one node, the first
-	// included.
+	// MaxAttempts limits the attempts of one request at one node, including the
+	// first.
 	MaxAttempts int
-	// BackoffBase is the longest wait before the first retry; it doubles with
-	// each further one. The wait is drawn evenly from 0 to it (full jitter).
+	// BackoffBase is the maximum backoff before the first retry; it doubles with
+	// each further retry. The backoff is drawn uniformly from 0 to the maximum
+	// (full jitter).
 	BackoffBase time.Duration
-	// BackoffMax bounds the longest wait.
+	// BackoffMax limits the maximum backoff.
 	BackoffMax time.Duration
-	// MinLeft is the time that must be left of the deadline when a retry is
-	// sent; a shorter one could only fail.
+	// MinLeft is the time that must be left before the deadline when a retry is
+	// sent. With less, the retry could only fail.
 	MinLeft time.Duration
-	// MaxEarned bounds the retries that a budget saves up, so that a quiet
-	// time does not pay for a storm.
+	// MaxEarned limits the retries that a budget accumulates, so that a quiet
+	// period does not permit a retry storm.
 	MaxEarned int64
-	// MinWindow is the time for which the retries of MinPerSecond are saved
-	// up.
+	// MinWindow is the time over which unused retries of MinPerSecond
+	// accumulate.
 	MinWindow time.Duration
 }
 
-// DefaultConfig returns the policy that docs/design/retries.md measures.
+// DefaultConfig returns the default policy; see docs/design/retries.md.
 func DefaultConfig() Config {
 	return Config{
 		MaxAttempts: 3,
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -1,10 +1,11 @@
-// Package retry decides whether a failed attempt is sent again.
+// Package retry decides whether a request is sent again after a failed attempt.
 //
-// A retry needs a certain not-run or a class that is idempotent, time left
-// before the deadline and a token of the class's budget. First attempts earn
-// tokens; a request that is itself a retry, or was made on behalf of one
-// further up, earns none and is not retried again. So over a chain of h hops a
-// budget of ratio r adds at most h*r to the load, not (1+r)^h-1.
+// A request is retried only if it certainly did not run or its class is
+// idempotent, if enough time is left before the deadline, and if the class's
+// retry budget holds a token. First attempts earn tokens. A request that is
+// itself a retry, or was made on behalf of one earlier in the call chain, earns
+// none and is not retried again. So over a chain of h hops a budget of ratio r
+// adds at most h*r to the load, not (1+r)^h-1.
 package retry
 
 import (
@@ -19,13 +20,13 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// Retrier decides on retries and keeps the budgets of one node. It is safe for
-// concurrent use and takes no lock on the path of a request.
+// Retrier decides on retries and holds one node's retry budgets. It is safe for
+// concurrent use; handling a request takes no lock.
 type Retrier struct {
 	cfg     Config
 	rand    *random.Source
 	budgets atomic.Pointer[map[budgetKey]*budget]
-	part    atomic.Pointer[float64]
+	share   atomic.Pointer[float64]
 
 	mu sync.Mutex // held by Update only
 }
@@ -38,12 +39,12 @@
 	return r
 }
 
-// SetPart sets the node's part, 0 to 1, of the fleet-wide MinPerSecond.
-func (r *Retrier) SetPart(part float64) { r.part.Store(&part) }
+// SetPart sets the node's share, 0 to 1, of the fleet-wide MinPerSecond.
+func (r *Retrier) SetPart(share float64) { r.share.Store(&share) }
 
-// Attempt is one attempt that failed.
+// Attempt describes a failed attempt.
 type Attempt struct {
-	// Number counts the attempts at this node, from 1.
+	// Number is the number of this attempt at this node, from 1.
 	Number int
 	// Inherited says that the request arrived as a retry or on behalf of one
 	// (outcome.HeaderAttempt).
@@ -54,54 +55,57 @@
 	Left time.Duration
 	// Outcome is the attempt's outcome.
 	Outcome outcome.Outcome
-	// Reason is why it was not answered.
+	// Reason is why the attempt was not answered.
 	Reason outcome.Reason
 	// Unsent says that no byte of the request was sent, as when a connection
 	// was refused.
 	Unsent bool
-	// Zone is the zone of the server tried.
+	// Zone is the availability zone of the backend server that was tried.
 	Zone model.Zone
 }
 
-// Stop is why there is no retry.
+// Stop is the reason why a request is not retried.
 type Stop string
 
 // The reasons to stop.
 const (
-	// StopNone means that there is a retry.
+	// StopNone means that the request is retried.
 	StopNone Stop = ""
-	// StopAnswered means that there is an answer.
+	// StopAnswered means that the request was answered.
 	StopAnswered Stop = "answered"
 	// StopUnsafe means that the request may have run and isn't idempotent.
 	StopUnsafe Stop = "unsafe"
-	// StopUseless means that another server would answer the same.
+	// StopUseless means that another backend server would give the same answer.
 	StopUseless Stop = "useless"
 	// StopBody means that the body can't be sent again.
 	StopBody Stop = "body"
 	// StopAttempts means that the attempts are used up.
 	StopAttempts Stop = "attempts"
-	// StopInherited means that the request was a retry already.
+	// StopInherited means that the request arrived as a retry or on behalf of
+	// one.
 	StopInherited Stop = "inherited"
-	// StopOverload means that the class is not urgent enough to add to an
-	// overload.
+	// StopOverload means that the server tried is overloaded and the class is
+	// not urgent enough to add to the load.
 	StopOverload Stop = "overload"
-	// StopDeadline means that too little time is left.
+	// StopDeadline means that too little time is left before the deadline.
 	StopDeadline Stop = "deadline"
-	// StopBudget means that the budget is used up.
+	// StopBudget means that the retry budget is exhausted.
 	StopBudget Stop = "budget"
 )
 
-// Decision is what to do after a failed attempt.
+// Decision is the action to take after a failed attempt.
 type Decision struct {
-	// Stop is why there is no retry; StopNone to retry.
+	// Stop is why the request is not retried; StopNone to retry it.
 	Stop Stop
-	// After is how long to wait before the retry.
+	// After is the backoff before the retry.
 	After time.Duration
-	// AvoidZone is the zone that the retry must not go to; empty for none.
+	// AvoidZone is the availability zone that the retry must avoid; empty for
+	// none.
 	AvoidZone model.Zone
 }
 
-// First counts a first attempt. inherited is as in Attempt.
+// First credits the budget of the request's class for a first attempt. inherited
+// is as in Attempt; inherited requests earn nothing.
 func (r *Retrier) First(m snapshot.Match, inherited bool) {
 	if inherited || m.Class.RetryBudget == nil {
 		return
@@ -111,8 +115,8 @@
 	}
 }
 
-// Decide decides what follows a failed attempt. A retry takes from the budget
-// unless the attempt cost nothing.
+// Decide decides what follows a failed attempt. A retry takes a token from the
+// budget unless the attempt caused no work.
 func (r *Retrier) Decide(now time.Time, m snapshot.Match, a Attempt) Decision {
 	if stop := r.forbidden(m.Class, a); stop != StopNone {
 		return Decision{Stop: stop}
@@ -133,7 +137,8 @@
 	return d
 }
 
-// forbidden returns why the attempt may not be repeated whatever the budget.
+// forbidden returns why the request may not be retried, regardless of the budget,
+// the backoff and the deadline.
 func (r *Retrier) forbidden(c *model.Class, a Attempt) Stop {
 	switch {
 	case a.Outcome == outcome.Answered:
@@ -154,10 +159,10 @@
 	return StopNone
 }
 
-// backoff draws the wait before the retry that follows attempt n.
+// backoff returns a random backoff for the retry that follows attempt n.
 func (r *Retrier) backoff(n int) time.Duration {
-	longest := backoff.Doubled(r.cfg.BackoffBase, r.cfg.BackoffMax, n-1)
-	return time.Duration(r.rand.Float64() * float64(longest))
+	limit := backoff.Doubled(r.cfg.BackoffBase, r.cfg.BackoffMax, n-1)
+	return time.Duration(r.rand.Float64() * float64(limit))
 }
 
 func (r *Retrier) budget(m snapshot.Match) *budget {
@@ -169,13 +174,14 @@
 	if b == nil || m.Class.RetryBudget == nil {
 		return false
 	}
-	perSecond := m.Class.RetryBudget.MinPerSecond * *r.part.Load()
+	perSecond := m.Class.RetryBudget.MinPerSecond * *r.share.Load()
 	return b.spend(now, &r.cfg, perSecond, r.rand.Float64())
 }
 
-// costless reports whether the attempt was refused without work: no byte was
-// sent, or the gate refused it at the door. Moving on to another server adds
-// no load there, so it needs no budget and no wait; MaxAttempts bounds it.
+// costless reports whether the attempt caused no work at the server tried: no
+// byte was sent, or the gate refused it before admission. Sending it to another
+// server multiplies no load, so it needs neither budget nor backoff; MaxAttempts
+// limits it.
 func costless(a Attempt) bool {
 	if a.Outcome != outcome.NotRun {
 		return false
@@ -183,12 +189,13 @@
 	return a.Unsent || a.Reason == outcome.ReasonDraining || a.Reason == outcome.ReasonWrongService
 }
 
-// overloaded reports whether the reason tells of overload where it was tried.
+// overloaded reports whether the reason means that the server tried is overloaded.
 func overloaded(r outcome.Reason) bool {
 	return r == outcome.ReasonShed || r == outcome.ReasonQueueFull
 }
 
-// useless reports whether another server could not do better.
+// useless reports whether a retry is useless because another server could not do
+// better.
 func useless(r outcome.Reason) bool {
 	switch r {
 	case outcome.ReasonRateLimited, outcome.ReasonConcurrency, outcome.ReasonDeadline,
@@ -201,6 +208,7 @@
 	return false
 }
 
+// urgent reports whether requests of the kind are retried under overload.
 func urgent(k model.ClassKind) bool {
 	return k == model.KindNonRepeatable || k == model.KindInteractive
 }
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -37,20 +37,20 @@
 		attempt    Attempt
 		stop       Stop
 	}{
-		"shed":                   {model.KindInteractive, true, shed, StopNone},
-		"shed booking":           {model.KindNonRepeatable, false, shed, StopNone},
-		"shed bulk":              {model.KindBulk, true, shed, StopOverload},
-		"lost read":              {model.KindInteractive, true, lost, StopNone},
-		"lost booking":           {model.KindNonRepeatable, false, lost, StopUnsafe},
-		"answered":               {model.KindInteractive, true, with(shed, func(a *Attempt) { a.Outcome = outcome.Answered }), StopAnswered},
-		"body gone":              {model.KindInteractive, true, with(lost, func(a *Attempt) { a.Replayable = false }), StopBody},
-		"body kept, unsent":      {model.KindInteractive, true, with(unsent, func(a *Attempt) { a.Replayable = false }), StopNone},
-		"third attempt":          {model.KindInteractive, true, with(unsent, func(a *Attempt) { a.Number = 3 }), StopAttempts},
-		"limited":                {model.KindInteractive, true, with(shed, func(a *Attempt) { a.Reason = outcome.ReasonRateLimited }), StopUseless},
-		"deadline near":          {model.KindInteractive, true, with(shed, func(a *Attempt) { a.Left = time.Millisecond }), StopDeadline},
-		"inherited":              {model.KindInteractive, true, with(shed, func(a *Attempt) { a.Inherited = true }), StopInherited},
-		"inherited, unsent":      {model.KindInteractive, true, with(unsent, func(a *Attempt) { a.Inherited = true }), StopNone},
-		"lost though repeatable": {model.KindInteractive, true, with(lost, func(a *Attempt) { a.Unsent = true; a.Inherited = true }), StopInherited},
+		"shed":                           {model.KindInteractive, true, shed, StopNone},
+		"shed booking":                   {model.KindNonRepeatable, false, shed, StopNone},
+		"shed bulk":                      {model.KindBulk, true, shed, StopOverload},
+		"lost read":                      {model.KindInteractive, true, lost, StopNone},
+		"lost booking":                   {model.KindNonRepeatable, false, lost, StopUnsafe},
+		"answered":                       {model.KindInteractive, true, with(shed, func(a *Attempt) { a.Outcome = outcome.Answered }), StopAnswered},
+		"body not replayable":            {model.KindInteractive, true, with(lost, func(a *Attempt) { a.Replayable = false }), StopBody},
+		"body not replayable, unsent":    {model.KindInteractive, true, with(unsent, func(a *Attempt) { a.Replayable = false }), StopNone},
+		"third attempt":                  {model.KindInteractive, true, with(unsent, func(a *Attempt) { a.Number = 3 }), StopAttempts},
+		"limited":                        {model.KindInteractive, true, with(shed, func(a *Attempt) { a.Reason = outcome.ReasonRateLimited }), StopUseless},
+		"too little time left":           {model.KindInteractive, true, with(shed, func(a *Attempt) { a.Left = time.Millisecond }), StopDeadline},
+		"inherited":                      {model.KindInteractive, true, with(shed, func(a *Attempt) { a.Inherited = true }), StopInherited},
+		"inherited, unsent":              {model.KindInteractive, true, with(unsent, func(a *Attempt) { a.Inherited = true }), StopNone},
+		"lost, inherited, marked unsent": {model.KindInteractive, true, with(lost, func(a *Attempt) { a.Unsent = true; a.Inherited = true }), StopInherited},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -92,25 +92,26 @@
 	must.Eq(t, StopBudget, r.Decide(start, m, lost).Stop)
 }
 
-// chain sends calls through hops nodes, the last of which always fails, and
-// returns the attempts there for each call.
-func chain(t *testing.T, hops, calls int, mark bool, ratio float64) float64 {
+// attemptsPerCall sends calls through a chain of hops nodes, the last of which always
+// fails, and returns the mean number of attempts there for each call. markInherited says
+// that nodes mark the attempts that are retries or made on behalf of one.
+func attemptsPerCall(t *testing.T, hops, calls int, markInherited bool, ratio float64) float64 {
 	nodes := make([]*Retrier, hops)
 	var m snapshot.Match
 	for i := range nodes {
 		nodes[i], m = newRetrier(t, model.Class{Repeatable: true, Kind: model.KindInteractive, RetryBudget: &model.RetryBudget{Ratio: ratio}})
 	}
-	deepest := 0
+	attempts := 0
 	var call func(hop int, inherited bool)
 	call = func(hop int, inherited bool) {
 		if hop == hops {
-			deepest++
+			attempts++
 			return
 		}
 		nodes[hop].First(m, inherited)
 		a := Attempt{Number: 1, Inherited: inherited, Replayable: true, Left: time.Minute, Outcome: outcome.Unknown}
 		for {
-			call(hop+1, mark && (inherited || a.Number > 1))
+			call(hop+1, markInherited && (inherited || a.Number > 1))
 			if nodes[hop].Decide(start, m, a).Stop != StopNone {
 				return
 			}
@@ -120,18 +121,18 @@
 	for range calls {
 		call(0, false)
 	}
-	return float64(deepest) / float64(calls)
+	return float64(attempts) / float64(calls)
 }
 
-// TestAmplification measures how a failure at the end of 8 hops multiplies
-// the load there, with the attempt passed on and without.
+// TestAmplification checks the factor by which a failure at the end of 8 hops
+// multiplies the load there, with inherited retries marked and without.
 func TestAmplification(t *testing.T) {
 	const hops, ratio = 8, 0.2
-	bounded := chain(t, hops, 2000, true, ratio)
-	forgotten := chain(t, hops, 2000, false, ratio)
+	marked := attemptsPerCall(t, hops, 2000, true, ratio)
+	unmarked := attemptsPerCall(t, hops, 2000, false, ratio)
 	naive := math.Pow(3, hops)
-	t.Logf("attempts at the deepest of %d hops for each call: passed on %.2f, budget alone %.2f, naive 3 tries %.0f", hops, bounded, forgotten, naive)
-	must.LessEq(t, 1+hops*ratio, bounded)
-	must.LessEq(t, math.Pow(1+ratio, hops)+0.01, forgotten)
-	must.Greater(t, bounded, forgotten)
+	t.Logf("attempts at the last of %d hops for each call: inherited retries marked %.2f, budget alone %.2f, 3 attempts at each hop without a budget %.0f", hops, marked, unmarked, naive)
+	must.LessEq(t, 1+hops*ratio, marked)
+	must.LessEq(t, math.Pow(1+ratio, hops)+0.01, unmarked)
+	must.Greater(t, marked, unmarked)
 }
