--- a/coordination/attempt/alone_test.go
+++ b/coordination/attempt/alone_test.go
@@ -26,7 +26,7 @@
 	}))
 	must.Eq(t, int(cfg.Alone*cfg.Slack+cfg.Alone*cfg.Ratio*5)-5, allowed(func(b *Budget) {
 		for range 5 {
-			b.Called(begin, "s")
+			b.NestedCall(begin, "s")
 		}
 	}))
 	must.Eq(t, int(cfg.Safety*cfg.Slack), allowed(func(b *Budget) {
@@ -68,7 +68,7 @@
 	send := func(at time.Duration, b *Budget, ofRepeat bool) {
 		called.requests = append(called.requests, at)
 		if ofRepeat {
-			b.Called(begin.Add(at), "called")
+			b.NestedCall(begin.Add(at), "called")
 			called.repeats = append(called.repeats, at)
 		} else {
 			b.Request(begin.Add(at), "called")
@@ -88,7 +88,7 @@
 		b.Request(begin.Add(at), "calling")
 		repeat := rng.Float64() < p.callingRefused
 		if repeat {
-			b.Told(begin.Add(at), "calling", budgets[rng.IntN(hosts)].Strain(begin.Add(at)))
+			b.ObserveUsage(begin.Add(at), "calling", budgets[rng.IntN(hosts)].CalledUsage(begin.Add(at)))
 		}
 		if repeat && !b.Repeat(begin.Add(at), "calling", GainWhole) {
 			continue
@@ -97,7 +97,7 @@
 		for range p.calls {
 			send(at, host, repeat)
 		}
-		b.Told(begin.Add(at), "calling", host.Strain(begin.Add(at)))
+		b.ObserveUsage(begin.Add(at), "calling", host.CalledUsage(begin.Add(at)))
 	}
 	return called.highestUsage(cfg)
 }
--- a/coordination/attempt/budget.go
+++ b/coordination/attempt/budget.go
@@ -28,10 +28,10 @@
 	// there are then no nested calls of retries that need the rest of the budget. It is
 	// not below Safety.
 	Alone float64
-	// Lot is a random number in [0, 1) that decides whether the node's share of the budget
+	// Draw is a random number in [0, 1) that decides whether the node's share of the budget
 	// is rounded up or down. In a large fleet a share is a few retries; rounding all of
 	// them down would leave much of the budget unused.
-	Lot float64
+	Draw float64
 }
 
 // DefaultSafety is the fraction of the budget that each service's own retries may use.
@@ -63,10 +63,10 @@
 // window counts one service's requests and retries.
 type window struct {
 	requests, repeats [windowSlices]float64
-	called            [windowSlices]float64 // nested calls of retries; they are counted in requests too
+	nestedCalls       [windowSlices]float64 // nested calls of retries; they are counted in requests too
 	slice             int64                 // number of the newest slice
 	deniedAt          time.Time             // when a retry was last denied
-	usage             float64               // moving average of what the service's hosts report; see Strain
+	usage             float64               // moving average of what the service's hosts report; see ObserveUsage
 	highUsageAt       time.Time             // when usage was last usageHigh or more
 }
 
@@ -100,14 +100,14 @@
 	w.requests[w.slice%windowSlices]++
 }
 
-// Called counts a request for a service that is a nested call of a retry running on this
-// host. It counts both as a request and as a retry.
-func (b *Budget) Called(now time.Time, service string) {
+// NestedCall counts a request for a service that is a nested call of a retry running on
+// this host. It counts both as a request and as a retry.
+func (b *Budget) NestedCall(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.windowAt(now, service)
 	w.requests[w.slice%windowSlices]++
-	w.called[w.slice%windowSlices]++
+	w.nestedCalls[w.slice%windowSlices]++
 }
 
 // Repeat reports whether one more retry may be sent to the service, and counts it if so.
@@ -120,7 +120,7 @@
 // repeat is Repeat with b.mu held.
 func (b *Budget) repeat(now time.Time, service string, g Gain) bool {
 	w := b.windowAt(now, service)
-	if sum(w.repeats)+1 > b.gainShare(g)*b.usableBudget(now, service, w)+b.cfg.Lot {
+	if sum(w.repeats)+1 > b.gainShare(g)*b.usableBudget(now, service, w)+b.cfg.Draw {
 		w.deniedAt = now
 		return false
 	}
@@ -143,7 +143,7 @@
 	case now.Sub(w.highUsageAt) < usageHighWindows*b.cfg.Window:
 		return b.cfg.Safety * budget
 	}
-	return max(b.cfg.Safety*budget, b.cfg.Alone*budget-callsPerRepeat*otherRepeats-sum(w.called))
+	return max(b.cfg.Safety*budget, b.cfg.Alone*budget-callsPerRepeat*otherRepeats-sum(w.nestedCalls))
 }
 
 // nodeBudget returns this node's share of the fleet's budget, in retries per window.
@@ -165,14 +165,14 @@
 // denied in this time.
 const exhaustedFor = 2 * time.Second
 
-// RepeatFailed is Repeat for a request that a backend server has run and answered with a
-// failure of its own. It denies the retry while the budget of any other service is
+// RepeatAfterFailure is Repeat for a request that a backend server has run and answered
+// with a failure of its own. It denies the retry while the budget of any other service is
 // exhausted: the failure may come from a nested call, and the retry would make the nested
 // calls again, each of which counts as a retry at the service called. Since only the
 // requests with nested calls fail, a service that is called by only some of the requests
 // would receive more retries than its budget allows
 // (TestFleetStaysWithinBudgetWhenOnlyRequestsWithNestedCallsAreRetried).
-func (b *Budget) RepeatFailed(now time.Time, service string, g Gain) bool {
+func (b *Budget) RepeatAfterFailure(now time.Time, service string, g Gain) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for name, w := range b.services {
@@ -194,7 +194,7 @@
 	}
 	for passed := 0; w.slice < slice && passed < windowSlices; passed++ {
 		w.slice++
-		w.requests[w.slice%windowSlices], w.repeats[w.slice%windowSlices], w.called[w.slice%windowSlices] = 0, 0, 0
+		w.requests[w.slice%windowSlices], w.repeats[w.slice%windowSlices], w.nestedCalls[w.slice%windowSlices] = 0, 0, 0
 	}
 	w.slice = max(w.slice, slice)
 	return w
--- a/coordination/attempt/budget_test.go
+++ b/coordination/attempt/budget_test.go
@@ -121,7 +121,7 @@
 		if rng.IntN(calling) > 0 {
 			continue
 		}
-		if !call(at, false) && b.RepeatFailed(begin.Add(at), "calling", GainWhole) {
+		if !call(at, false) && b.RepeatAfterFailure(begin.Add(at), "calling", GainWhole) {
 			call(at, true)
 		}
 	}
@@ -168,7 +168,7 @@
 		rnd := rand.New(rand.NewPCG(7, uint64(nodes)))
 		requests, granted := 0, 0
 		for range nodes {
-			cfg := BudgetConfig{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second, Safety: DefaultSafety, Lot: rnd.Float64()}
+			cfg := BudgetConfig{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second, Safety: DefaultSafety, Draw: rnd.Float64()}
 			b := NewBudget(cfg)
 			b.SetNodes(nodes)
 			for i := range 200 {
--- a/coordination/attempt/comeback.go
+++ b/coordination/attempt/comeback.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Bounds of the default Retry-After delay, as fractions of the time that the caller still
-// waits. Callers wait for at most a third of that time. The random spread keeps callers
-// that are refused at the same time from retrying at the same time.
+// waits. Callers delay a retry by at most a third of that time. The random spread keeps
+// callers that are refused at the same time from retrying at the same time.
 const (
 	defaultAfterMin    = 0.08
 	defaultAfterSpread = 0.22
@@ -21,7 +21,7 @@
 
 // Bounds of the Retry-After delay if the service's backend servers have been overloaded
 // for seconds, as fractions of the time that the caller still waits. They make the caller
-// retry as late as callers are willing to. A caller that retries while there still is no
+// retry as late as callers ever do. A caller that retries while there still is no
 // free slot takes the place of another that would be served in time, and is itself served
 // late.
 const (
@@ -33,30 +33,30 @@
 // overloaded for seconds. A momentary queue raises an average over seconds by less.
 const sustainedOverload = 1.15
 
-// Refused describes a refused request, as input for ComeBack.
+// Refused describes a refused request, as input for RetryAfter.
 type Refused struct {
 	// Left is the time for which the caller still waits.
 	Left time.Duration
 	// Due is the time until the answer is due; 0 or less if it is late already.
 	Due time.Duration
-	// Room says that the backend server that refused last has free slots: the request is
-	// not refused because of load.
-	Room bool
+	// FreeSlots says that the backend server that refused last has free slots: the request
+	// is not refused because of load.
+	FreeSlots bool
 	// Load is the number of requests that the service's backend servers run and queue,
 	// averaged over the last seconds, as a fraction of their slots; 0 if it isn't known.
 	Load float64
-	// Lot is a random number in [0, 1) that spreads the delay.
-	Lot float64
+	// Jitter is a random number in [0, 1) that spreads the delay.
+	Jitter float64
 }
 
-// ComeBack returns the Retry-After delay for a refused request.
-func ComeBack(r Refused) time.Duration {
-	after := float64(r.Left) * (defaultAfterMin + defaultAfterSpread*r.Lot)
+// RetryAfter returns the Retry-After delay for a refused request.
+func RetryAfter(r Refused) time.Duration {
+	after := float64(r.Left) * (defaultAfterMin + defaultAfterSpread*r.Jitter)
 	switch {
-	case r.Room && r.Due > 0:
-		after = float64(r.Due) * (freeSlotsAfterMin + freeSlotsAfterSpread*r.Lot)
+	case r.FreeSlots && r.Due > 0:
+		after = float64(r.Due) * (freeSlotsAfterMin + freeSlotsAfterSpread*r.Jitter)
 	case r.Load > sustainedOverload:
-		after = float64(r.Left) * (overloadAfterMin + overloadAfterSpread*r.Lot)
+		after = float64(r.Left) * (overloadAfterMin + overloadAfterSpread*r.Jitter)
 	}
 	return max(time.Duration(after), time.Millisecond)
 }
@@ -69,10 +69,10 @@
 	unprovedAfterSpread = 400 * time.Millisecond
 )
 
-// ComeBackToProof returns the Retry-After delay of a node whose configuration isn't proved
-// to be current. lot is a random number in [0, 1) that spreads the delay.
-func ComeBackToProof(lot float64) time.Duration {
-	return unprovedAfterMin + time.Duration(lot*float64(unprovedAfterSpread))
+// RetryAfterUnproved returns the Retry-After delay of a node whose configuration isn't
+// proved to be current. jitter is a random number in [0, 1) that spreads the delay.
+func RetryAfterUnproved(jitter float64) time.Duration {
+	return unprovedAfterMin + time.Duration(jitter*float64(unprovedAfterSpread))
 }
 
 // Bounds of the Retry-After delay of a faulty route: operators may have corrected the
@@ -82,10 +82,10 @@
 	routeFaultAfterSpread = time.Second
 )
 
-// ComeBackToFault returns the Retry-After delay of a faulty route. lot is a random number
-// in [0, 1) that spreads the delay.
-func ComeBackToFault(lot float64) time.Duration {
-	return routeFaultAfterMin + time.Duration(lot*float64(routeFaultAfterSpread))
+// RetryAfterRouteFault returns the Retry-After delay of a faulty route. jitter is a random
+// number in [0, 1) that spreads the delay.
+func RetryAfterRouteFault(jitter float64) time.Duration {
+	return routeFaultAfterMin + time.Duration(jitter*float64(routeFaultAfterSpread))
 }
 
 // startAfterMin is the shortest Retry-After delay, before the spread, of a node that has
@@ -97,18 +97,18 @@
 // servers.
 const StartTime = 2 * time.Second
 
-// ComeBackToStart returns the Retry-After delay of a node that has not discovered a backend
+// RetryAfterStart returns the Retry-After delay of a node that has not discovered a backend
 // server for the request yet. The delay is as long as the node has been up, so that callers
-// back off exponentially during a slow start, but at most StartTime. lot, a random number
+// back off exponentially during a slow start, but at most StartTime. jitter, a random number
 // in [0, 1), spreads it by a quarter in both directions.
-func ComeBackToStart(up time.Duration, lot float64) time.Duration {
+func RetryAfterStart(up time.Duration, jitter float64) time.Duration {
 	wait := min(max(up, startAfterMin), StartTime)
-	return time.Duration(float64(wait) * (0.75 + lot/2))
+	return time.Duration(float64(wait) * (0.75 + jitter/2))
 }
 
-// ComeBackAfterEnd returns the Retry-After delay of a node that shuts down after the time
-// left: the next process is running by then. lot, a random number in [0, 1), spreads the
+// RetryAfterShutdown returns the Retry-After delay of a node that shuts down after the time
+// left: the next process is running by then. jitter, a random number in [0, 1), spreads the
 // delay over a further StartTime.
-func ComeBackAfterEnd(left time.Duration, lot float64) time.Duration {
-	return max(0, left) + time.Duration(lot*float64(StartTime))
+func RetryAfterShutdown(left time.Duration, jitter float64) time.Duration {
+	return max(0, left) + time.Duration(jitter*float64(StartTime))
 }
--- a/coordination/attempt/comeback_test.go
+++ b/coordination/attempt/comeback_test.go
@@ -58,7 +58,7 @@
 				break
 			}
 			now = now.Add(retryAfter(Refused{
-				Left: start.Add(patience).Sub(now), Due: target - latency, Room: true, Lot: rng.Float64(),
+				Left: start.Add(patience).Sub(now), Due: target - latency, FreeSlots: true, Jitter: rng.Float64(),
 			}))
 		}
 	}
@@ -70,10 +70,10 @@
 // 0.837 to 0.533.
 func TestRetryAfterIsShortWhenServersHaveFreeSlots(t *testing.T) {
 	byLeft := simulateShedding(func(r Refused) time.Duration {
-		r.Room = false
-		return ComeBack(r)
+		r.FreeSlots = false
+		return RetryAfter(r)
 	})
-	byDue := simulateShedding(ComeBack)
+	byDue := simulateShedding(RetryAfter)
 	t.Logf("answered in time: %.3f with delays by the time left, %.3f by the target", byLeft, byDue)
 	must.Greater(t, 0.78, byDue)
 	must.Greater(t, byLeft+0.25, byDue)
@@ -82,13 +82,13 @@
 // If load is the reason for refusals, a delay by the target makes callers retry under the
 // same load: it lowered the fraction of requests answered in time from 0.754 to 0.747.
 func TestRetryAfterIsLongUnderLoad(t *testing.T) {
-	r := Refused{Left: 3 * time.Second, Due: 800 * time.Millisecond, Lot: 0.5}
-	must.Eq(t, 570*time.Millisecond, ComeBack(r))
-	r.Room = true
-	must.Eq(t, 100*time.Millisecond, ComeBack(r))
+	r := Refused{Left: 3 * time.Second, Due: 800 * time.Millisecond, Jitter: 0.5}
+	must.Eq(t, 570*time.Millisecond, RetryAfter(r))
+	r.FreeSlots = true
+	must.Eq(t, 100*time.Millisecond, RetryAfter(r))
 	r.Due = 0
-	must.Eq(t, 570*time.Millisecond, ComeBack(r), must.Sprint("the answer is late already"))
-	must.Eq(t, time.Millisecond, ComeBack(Refused{}))
+	must.Eq(t, 570*time.Millisecond, RetryAfter(r), must.Sprint("the answer is late already"))
+	must.Eq(t, time.Millisecond, RetryAfter(Refused{}))
 }
 
 // A caller of a node that has just started makes three attempts. They cover a slow start,
@@ -96,11 +96,11 @@
 func TestRetryAfterOfAStartingNodeGrows(t *testing.T) {
 	up, waited := 10*time.Millisecond, time.Duration(0)
 	for attempt, want := range []time.Duration{200 * time.Millisecond, 210 * time.Millisecond, 420 * time.Millisecond} {
-		after := ComeBackToStart(up, 0.5)
+		after := RetryAfterStart(up, 0.5)
 		must.Eq(t, want, after, must.Sprint(attempt))
 		up, waited = up+after, waited+after
 	}
 	must.Greater(t, 800*time.Millisecond, waited)
-	must.Eq(t, 150*time.Millisecond, ComeBackToStart(0, 0))
-	must.Eq(t, StartTime, ComeBackToStart(time.Hour, 0.5), must.Sprint("a node that has been up for long without a configuration"))
+	must.Eq(t, 150*time.Millisecond, RetryAfterStart(0, 0))
+	must.Eq(t, StartTime, RetryAfterStart(time.Hour, 0.5), must.Sprint("a node that has been up for long without a configuration"))
 }
--- a/coordination/attempt/crowded_test.go
+++ b/coordination/attempt/crowded_test.go
@@ -88,11 +88,11 @@
 	s.requests.Add(1)
 	served := s.send(rnd, size, due, deadline)
 	if !served {
-		r := Refused{Left: time.Until(deadline), Due: time.Until(due), Lot: rnd.Float64()}
+		r := Refused{Left: time.Until(deadline), Due: time.Until(due), Jitter: rnd.Float64()}
 		if s.byLoad {
 			r.Load = math.Float64frombits(s.load.Load())
 		}
-		time.Sleep(ComeBack(r))
+		time.Sleep(RetryAfter(r))
 		served = s.send(rnd, size, due, deadline)
 	}
 	switch {
--- a/coordination/attempt/gain_test.go
+++ b/coordination/attempt/gain_test.go
@@ -18,7 +18,7 @@
 	)
 	rng := rand.New(rand.NewPCG(1, 1))
 	b := NewBudget(config())
-	groups := NewTogether()
+	groups := NewCallGroups()
 	for i := range runs {
 		now := begin.Add(time.Duration(i) * 10 * time.Millisecond)
 		var calls [2]*Member
--- a/coordination/attempt/overload_test.go
+++ b/coordination/attempt/overload_test.go
@@ -102,7 +102,7 @@
 		r.refused++
 		return
 	}
-	after := ComeBack(Refused{Left: a.first.Add(patience).Sub(a.at), Due: due.Sub(a.at), Lot: rng.Float64()})
+	after := RetryAfter(Refused{Left: a.first.Add(patience).Sub(a.at), Due: due.Sub(a.at), Jitter: rng.Float64()})
 	heap.Push(queue, callerAttempt{at: a.at.Add(after), first: a.first, retries: a.retries + 1})
 }
 
--- a/coordination/attempt/policy_test.go
+++ b/coordination/attempt/policy_test.go
@@ -34,7 +34,7 @@
 // of the worst outcome.
 func TestTrailReportsTheWorstOutcome(t *testing.T) {
 	trail := NewTrail(true, 2)
-	trail.NobodyLeft()
+	trail.Exhaust()
 	o, reason := trail.Worst()
 	must.Eq(t, outcome.NotRun, o)
 	must.Eq(t, outcome.ReasonNoEndpoint, reason)
@@ -43,7 +43,7 @@
 	trail.Note(outcome.NotRun, outcome.ReasonQueueFull)
 	trail.Note(outcome.Unknown, outcome.ReasonBackendFailed)
 	trail.Note(outcome.NotRun, outcome.ReasonQueueFull)
-	trail.NobodyLeft()
+	trail.Exhaust()
 	o, reason = trail.Worst()
 	must.Eq(t, outcome.Unknown, o)
 	must.Eq(t, outcome.ReasonBackendFailed, reason)
--- a/coordination/attempt/returns.go
+++ b/coordination/attempt/returns.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Returns is a bounded history of refused requests. It recognises the request with which
-// a caller retries after a refusal: the caller has waited since its first attempt, so the
-// answer is due relative to that attempt. If caller retries were treated as new requests,
-// those that can only be answered late would take slots and link capacity from requests
-// that would be answered in time.
+// RefusalHistory is a bounded history of refused requests. It recognises the request with
+// which a caller retries after a refusal: the caller has waited since its first attempt, so
+// the answer is due relative to that attempt. If caller retries were treated as new
+// requests, those that can only be answered late would take slots and link capacity from
+// requests that would be answered in time.
 //
 // Each attempt of a caller has an identifier of its own. A request is therefore taken for
 // the retry of a refused one if it has the same fingerprint and its caller waits until the
-// same time. Returns is safe for concurrent use.
-type Returns struct {
+// same time. RefusalHistory is safe for concurrent use.
+type RefusalHistory struct {
 	mu      sync.Mutex
 	refused map[uint64][]refusal // by fingerprint
 	// order is a ring of the recorded refusals. Once it holds maxRefusals, the next one
@@ -45,13 +45,13 @@
 	deadlineTolerance = 60 * time.Millisecond
 )
 
-// NewReturns returns an empty history.
-func NewReturns() *Returns { return &Returns{refused: make(map[uint64][]refusal)} }
+// NewRefusalHistory returns an empty history.
+func NewRefusalHistory() *RefusalHistory { return &RefusalHistory{refused: make(map[uint64][]refusal)} }
 
-// First looks up a request that has the fingerprint and whose caller waits until the
+// FirstAttempt looks up a request that has the fingerprint and whose caller waits until the
 // deadline. If such a request was refused, it returns the arrival time of the caller's
 // first attempt and true.
-func (r *Returns) First(fingerprint uint64, deadline time.Time) (first time.Time, found bool) {
+func (r *RefusalHistory) FirstAttempt(fingerprint uint64, deadline time.Time) (first time.Time, found bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range r.refused[fingerprint] {
@@ -62,10 +62,10 @@
 	return time.Time{}, false
 }
 
-// Refused records the refusal of a request. first is the arrival time of the caller's
+// Record records the refusal of a request. first is the arrival time of the caller's
 // first attempt, deadline the time until which the caller waits. A request with
 // fingerprint 0 has none and isn't recorded.
-func (r *Returns) Refused(fingerprint uint64, first, deadline time.Time) {
+func (r *RefusalHistory) Record(fingerprint uint64, first, deadline time.Time) {
 	if fingerprint == 0 {
 		return
 	}
@@ -76,7 +76,7 @@
 }
 
 // enqueue adds a refusal to order; once maxRefusals are recorded it evicts the oldest.
-func (r *Returns) enqueue(k refusalKey) {
+func (r *RefusalHistory) enqueue(k refusalKey) {
 	if len(r.order) < maxRefusals {
 		r.order = append(r.order, k)
 		return
@@ -87,7 +87,7 @@
 }
 
 // remove deletes one refusal from the map.
-func (r *Returns) remove(k refusalKey) {
+func (r *RefusalHistory) remove(k refusalKey) {
 	all := r.refused[k.fingerprint]
 	for i := range all {
 		if all[i].deadline.Equal(k.deadline) {
--- a/coordination/attempt/returns_test.go
+++ b/coordination/attempt/returns_test.go
@@ -8,24 +8,24 @@
 )
 
 func TestRetryOfARefusedRequestIsRecognised(t *testing.T) {
-	r := NewReturns()
+	r := NewRefusalHistory()
 	at := time.Unix(1_000_000, 0)
 	deadline := at.Add(5 * time.Second)
-	r.Refused(7, at, deadline)
-	first, found := r.First(7, deadline.Add(20*time.Millisecond))
+	r.Record(7, at, deadline)
+	first, found := r.FirstAttempt(7, deadline.Add(20*time.Millisecond))
 	must.True(t, found)
 	must.Eq(t, at, first)
-	_, found = r.First(7, deadline.Add(time.Second))
+	_, found = r.FirstAttempt(7, deadline.Add(time.Second))
 	must.False(t, found, must.Sprint("another caller with the same request"))
-	_, found = r.First(8, deadline)
+	_, found = r.FirstAttempt(8, deadline)
 	must.False(t, found, must.Sprint("another request of the same caller"))
 }
 
 func TestRefusalHistoryIsBounded(t *testing.T) {
-	r := NewReturns()
+	r := NewRefusalHistory()
 	at := time.Unix(1_000_000, 0)
 	for i := range 3 * maxRefusals {
-		r.Refused(uint64(1+i%500), at, at.Add(time.Duration(i)*time.Second))
+		r.Record(uint64(1+i%500), at, at.Add(time.Duration(i)*time.Second))
 	}
 	must.Len(t, maxRefusals, r.order)
 	recorded := 0
@@ -33,7 +33,7 @@
 		recorded += len(all)
 	}
 	must.Eq(t, maxRefusals, recorded)
-	r.Refused(0, at, at)
-	_, found := r.First(0, at)
+	r.Record(0, at, at)
+	_, found := r.FirstAttempt(0, at)
 	must.False(t, found)
 }
--- a/coordination/attempt/strain.go
+++ b/coordination/attempt/strain.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Strain is the fraction of a called service's retry budget that is in use on one host, by
-// nested calls of retries and by retries of its requests. The hosts of a service report it
-// in their responses. The nodes that send to the service limit their retries by it, so
-// that they retry no more than the services called can sustain.
-type Strain float64
+// BudgetUsage is the fraction of one host's share of a called service's retry budget that
+// is in use, by nested calls of retries and by retries of its requests. The hosts of the
+// calling service report it in their responses. The nodes that send to that service limit
+// their retries by it, so that they retry no more than the services called can sustain.
+type BudgetUsage float64
 
 const (
 	// usageHigh is the average usage from which retries to a service are confined to the
@@ -32,33 +32,33 @@
 )
 
 // Percent returns the usage in percent, rounded up.
-func (s Strain) Percent() int { return int(math.Ceil(100 * float64(s))) }
+func (u BudgetUsage) Percent() int { return int(math.Ceil(100 * float64(u))) }
 
-// StrainOf returns the usage for a number of percent.
-func StrainOf(percent int) Strain { return Strain(float64(percent) / 100) }
+// BudgetUsageOf returns the usage for a number of percent.
+func BudgetUsageOf(percent int) BudgetUsage { return BudgetUsage(float64(percent) / 100) }
 
-// Strain returns the highest usage among the services to which retries on this host make
-// nested calls; 0 if there are none.
-func (b *Budget) Strain(now time.Time) Strain {
+// CalledUsage returns the highest usage among the services to which retries on this host
+// make nested calls; 0 if there are none.
+func (b *Budget) CalledUsage(now time.Time) BudgetUsage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	highest := 0.0
 	for name := range b.services {
 		w := b.windowAt(now, name)
-		called, budget := sum(w.called), b.nodeBudget(w)
-		if called >= usageNoise*budget {
-			highest = max(highest, (called+sum(w.repeats))/budget)
+		nested, budget := sum(w.nestedCalls), b.nodeBudget(w)
+		if nested >= usageNoise*budget {
+			highest = max(highest, (nested+sum(w.repeats))/budget)
 		}
 	}
-	return Strain(highest)
+	return BudgetUsage(highest)
 }
 
-// Told records the usage that a host of a service reported in a response.
-func (b *Budget) Told(now time.Time, service string, s Strain) {
+// ObserveUsage records the usage that a host of a service reported in a response.
+func (b *Budget) ObserveUsage(now time.Time, service string, u BudgetUsage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.windowAt(now, service)
-	w.usage += usageSmoothing * (float64(s) - w.usage)
+	w.usage += usageSmoothing * (float64(u) - w.usage)
 	if w.usage >= usageHigh {
 		w.highUsageAt = now
 	}
--- a/coordination/attempt/together.go
+++ b/coordination/attempt/together.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Together groups this node's requests that expire together, to recognise the nested calls
-// of one run: they expire at the deadline of the request that is run, and if one of them
-// fails, the run fails with it. No header marks the calls of a run. It is safe for
+// CallGroups groups this node's requests that expire together, to recognise the nested
+// calls of one run: they expire at the deadline of the request that is run, and if one of
+// them fails, the run fails with it. No header marks the calls of a run. It is safe for
 // concurrent use.
-type Together struct {
+type CallGroups struct {
 	mu     sync.Mutex
 	groups map[groupKey]*group
 }
@@ -39,31 +39,31 @@
 
 // Member is one request of a group. It must be used by one goroutine only.
 type Member struct {
-	t       *Together
+	set     *CallGroups
 	key     groupKey
 	group   *group
 	failing bool
 }
 
-// NewTogether returns an empty set of groups.
-func NewTogether() *Together { return &Together{groups: make(map[groupKey]*group)} }
+// NewCallGroups returns an empty set of groups.
+func NewCallGroups() *CallGroups { return &CallGroups{groups: make(map[groupKey]*group)} }
 
 // Join adds a request for a service that arrives now and whose caller waits until the
 // deadline. Leave must follow.
-func (t *Together) Join(now time.Time, service string, deadline time.Time) *Member {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	m := &Member{t: t, key: groupKey{service, deadline.UnixNano() / int64(deadlineSlotWidth)}}
+func (c *CallGroups) Join(now time.Time, service string, deadline time.Time) *Member {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	m := &Member{set: c, key: groupKey{service, deadline.UnixNano() / int64(deadlineSlotWidth)}}
 	for _, offset := range [...]int64{0, -1, 1} {
 		key := groupKey{service, m.key.deadlineSlot + offset}
-		if g := t.groups[key]; g != nil && now.Sub(g.firstArrival) <= maxArrivalSpread {
+		if g := c.groups[key]; g != nil && now.Sub(g.firstArrival) <= maxArrivalSpread {
 			m.key, m.group = key, g
 			break
 		}
 	}
 	if m.group == nil {
 		m.group = &group{firstArrival: now}
-		t.groups[m.key] = m.group
+		c.groups[m.key] = m.group
 	}
 	m.group.members++
 	return m
@@ -72,8 +72,8 @@
 // Failing records that a backend server has refused or failed the request, so that only a
 // retry can get an answer.
 func (m *Member) Failing() {
-	m.t.mu.Lock()
-	defer m.t.mu.Unlock()
+	m.set.mu.Lock()
+	defer m.set.mu.Unlock()
 	if !m.failing {
 		m.failing = true
 		m.group.failing++
@@ -83,8 +83,8 @@
 // Others returns the number of other requests in the group, and how many of them have
 // failed so far. A failed request that has left without an answer counts in both.
 func (m *Member) Others() (all, failing int) {
-	m.t.mu.Lock()
-	defer m.t.mu.Unlock()
+	m.set.mu.Lock()
+	defer m.set.mu.Unlock()
 	all, failing = m.group.members-1, m.group.failing
 	if m.failing {
 		failing--
@@ -95,13 +95,13 @@
 // Leave removes the request from its group. If it was answered it no longer counts as
 // failed; a failed request without an answer goes on counting for the rest of its group.
 func (m *Member) Leave(answered bool) {
-	m.t.mu.Lock()
-	defer m.t.mu.Unlock()
+	m.set.mu.Lock()
+	defer m.set.mu.Unlock()
 	g := m.group
 	if answered && m.failing {
 		g.failing--
 	}
-	if g.members--; g.members == 0 && m.t.groups[m.key] == g {
-		delete(m.t.groups, m.key)
+	if g.members--; g.members == 0 && m.set.groups[m.key] == g {
+		delete(m.set.groups, m.key)
 	}
 }
--- a/coordination/attempt/together_test.go
+++ b/coordination/attempt/together_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestCallsOfARunAreGroupedByDeadline(t *testing.T) {
-	groups := NewTogether()
+	groups := NewCallGroups()
 	deadline := begin.Add(300 * time.Millisecond)
 	a := groups.Join(begin, "s", deadline)
 	b := groups.Join(begin.Add(time.Millisecond), "s", deadline.Add(500*time.Microsecond))
@@ -33,7 +33,7 @@
 }
 
 func TestRequestAnsweredByARetryNoLongerCountsAsFailed(t *testing.T) {
-	groups := NewTogether()
+	groups := NewCallGroups()
 	a, b := groups.Join(begin, "s", begin), groups.Join(begin, "s", begin)
 	a.Failing()
 	a.Leave(true)
--- a/coordination/attempt/trail.go
+++ b/coordination/attempt/trail.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// NobodyLeft records that there is no further backend server to send the request to.
-func (t *Trail) NobodyLeft() {
+// Exhaust records that there is no further backend server to send the request to.
+func (t *Trail) Exhaust() {
 	if t.reason == "" {
 		t.Note(outcome.NotRun, outcome.ReasonNoEndpoint) // the request was sent nowhere
 	}
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -35,12 +35,12 @@
 func New(cfg Config, seed uint64) *Retrier {
 	r := &Retrier{cfg: cfg, rand: random.New(seed)}
 	r.budgets.Store(&map[budgetKey]*budget{})
-	r.SetPart(1)
+	r.SetShare(1)
 	return r
 }
 
-// SetPart sets the node's share, 0 to 1, of the fleet-wide MinPerSecond.
-func (r *Retrier) SetPart(share float64) { r.share.Store(&share) }
+// SetShare sets the node's share, 0 to 1, of the fleet-wide MinPerSecond.
+func (r *Retrier) SetShare(share float64) { r.share.Store(&share) }
 
 // Attempt describes a failed attempt.
 type Attempt struct {
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -85,7 +85,7 @@
 		r.First(m, false)
 	}
 	must.Eq(t, 50, retries(start.Add(time.Second))) // MaxEarned
-	r.SetPart(0)
+	r.SetShare(0)
 	must.Zero(t, retries(start.Add(time.Minute)))
 	r, m = newRetrier(t, model.Class{Repeatable: true})
 	r.First(m, false)
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -112,7 +112,7 @@
 	for _, live := range n.loop.liveByZone() {
 		fleet += live
 	}
-	n.retrier.SetPart(1 / float64(max(1, fleet)))
+	n.retrier.SetShare(1 / float64(max(1, fleet)))
 }
 
 // housekeepInterval is the time between two rounds of housekeeping by a zone's
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -97,7 +97,7 @@
 		DrainGrace:  n.set.drain() / drainPart,
 		AnswerGrace: answerGrace,
 		Runs:        runs,
-		Strain:      n.budget.Strain,
+		Strain:      n.budget.CalledUsage,
 		Suspects:    n.pub.suspects.Load,
 		Crashed:     n.crashed,
 		Succeeded:   n.succeeded,
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -273,7 +273,7 @@
 		Window: seconds(s.Retry.WindowSeconds),
 		Safety: attempt.DefaultSafety,
 		Alone:  max(attempt.DefaultSafety, s.Retry.Alone),
-		Lot:    s.lot,
+		Draw:   s.lot,
 	}
 }
 
--- a/transport/inbound/gate.go
+++ b/transport/inbound/gate.go
@@ -63,7 +63,7 @@
 	// Runs is told of the runs that are repeats.
 	Runs *attempt.Runs
 	// Strain returns what the calls of those take of the bound on repeats.
-	Strain func(now time.Time) attempt.Strain
+	Strain func(now time.Time) attempt.BudgetUsage
 	// Suspects, Crashed and Succeeded are those of crash.Config.
 	Suspects  func() *suspect.View
 	Crashed   func(suspect.Crash, []suspect.Fingerprint)
--- a/transport/inbound/load_test.go
+++ b/transport/inbound/load_test.go
@@ -37,7 +37,7 @@
 	g := New(Config{
 		Dialect: loads{load: func() (dialect.Load, bool, error) { return told, err == nil, err }},
 		Backend: forward.NewClient(forward.ClientConfig{}),
-		Strain:  func(time.Time) attempt.Strain { return 0 },
+		Strain:  func(time.Time) attempt.BudgetUsage { return 0 },
 		Metrics: metrics.NewSet(),
 		Logger:  log.NewNopLogger(),
 		Now:     func() time.Time { return now },
--- a/transport/inbound/repeat_test.go
+++ b/transport/inbound/repeat_test.go
@@ -33,7 +33,7 @@
 func (plain) Judge(int, dialect.Header) dialect.Verdict { return dialect.Ran }
 
 // newGate returns a gate in front of a backend server.
-func newGate(t *testing.T, runs *attempt.Runs, strain attempt.Strain, h http.HandlerFunc) (*Gate, *instance.Instance) {
+func newGate(t *testing.T, runs *attempt.Runs, strain attempt.BudgetUsage, h http.HandlerFunc) (*Gate, *instance.Instance) {
 	t.Helper()
 	backend := httptest.NewServer(h)
 	t.Cleanup(backend.Close)
@@ -53,7 +53,7 @@
 		Lane:        pace.New(pace.DefaultConfig(1e6)),
 		Uploads:     pace.New(pace.DefaultConfig(1e6)),
 		Runs:        runs,
-		Strain:      func(time.Time) attempt.Strain { return strain },
+		Strain:      func(time.Time) attempt.BudgetUsage { return strain },
 		Suspects:    func() *suspect.View { return nil },
 		Crashed:     func(suspect.Crash, []suspect.Fingerprint) {},
 		Succeeded:   func(suspect.Fingerprint) {},
--- a/transport/outbound/authorise.go
+++ b/transport/outbound/authorise.go
@@ -59,7 +59,7 @@
 func (p *Proxy) unproved() *refusal {
 	return &refusal{
 		status: http.StatusServiceUnavailable, reason: outcome.ReasonUnproved,
-		after: attempt.ComeBackToProof(p.rand.Float64()),
+		after: attempt.RetryAfterUnproved(p.rand.Float64()),
 	}
 }
 
@@ -86,7 +86,7 @@
 		return nil
 	}
 	if x.first.Equal(x.began) {
-		x.p.returns.Refused(uint64(x.fingerprint), x.first, x.until())
+		x.p.returns.Record(uint64(x.fingerprint), x.first, x.until())
 	}
 	return &refusal{status: http.StatusTooManyRequests, reason: outcome.ReasonRateLimited, after: after}
 }
--- a/transport/outbound/conclude.go
+++ b/transport/outbound/conclude.go
@@ -43,7 +43,7 @@
 	worst, reason := x.trail.Worst()
 	switch {
 	case worst == outcome.NotRun:
-		x.p.returns.Refused(uint64(x.fingerprint), x.first, x.until())
+		x.p.returns.Record(uint64(x.fingerprint), x.first, x.until())
 		return &refusal{status: http.StatusServiceUnavailable, reason: reason, after: x.comeBack()}
 	case !x.p.cfg.Now().Before(x.deadline):
 		return &refusal{status: http.StatusGatewayTimeout, reason: outcome.ReasonDeadline}
@@ -61,11 +61,11 @@
 	case reason == outcome.ReasonNoEndpoint && now.Sub(x.p.started) < attempt.StartTime:
 		return x.p.comeBackToStart(now)
 	}
-	return attempt.ComeBack(attempt.Refused{
-		Left: x.until().Sub(now),
-		Due:  x.due().Sub(now),
-		Room: x.room,
-		Load: x.p.cfg.Balance.Load(x.service.Name),
-		Lot:  x.p.rand.Float64(),
+	return attempt.RetryAfter(attempt.Refused{
+		Left:      x.until().Sub(now),
+		Due:       x.due().Sub(now),
+		FreeSlots: x.room,
+		Load:      x.p.cfg.Balance.Load(x.service.Name),
+		Jitter:    x.p.rand.Float64(),
 	})
 }
--- a/transport/outbound/exchange.go
+++ b/transport/outbound/exchange.go
@@ -102,7 +102,7 @@
 		return &refusal{status: http.StatusBadRequest, reason: outcome.ReasonCancelled}
 	}
 	x.fingerprint = forward.Fingerprint(x.r, x.body.known())
-	if first, returned := x.p.returns.First(uint64(x.fingerprint), x.until()); returned {
+	if first, returned := x.p.returns.FirstAttempt(uint64(x.fingerprint), x.until()); returned {
 		x.first = first
 		x.p.returned.Inc()
 	}
@@ -175,7 +175,7 @@
 		x.trail.Forbid(outcome.ReasonNoRegion)
 		return
 	}
-	x.trail.NobodyLeft()
+	x.trail.Exhaust()
 }
 
 // pick chooses the backend server for the next send.
--- a/transport/outbound/exchange_test.go
+++ b/transport/outbound/exchange_test.go
@@ -147,7 +147,7 @@
 	p := newProxy(t, model.KindInteractive, 9, g)
 	r := httptest.NewRequest(http.MethodGet, "http://h/x", nil)
 	now := p.cfg.Now()
-	p.returns.Refused(uint64(forward.Fingerprint(r, nil)), now.Add(-target), now.Add(time.Second))
+	p.returns.Record(uint64(forward.Fingerprint(r, nil)), now.Add(-target), now.Add(time.Second))
 	must.Eq(t, http.StatusServiceUnavailable, ask(p).Code)
 	must.Eq(t, []int{0}, g.waits)
 }
--- a/transport/outbound/leaving.go
+++ b/transport/outbound/leaving.go
@@ -20,6 +20,6 @@
 	}
 	return &refusal{
 		status: http.StatusServiceUnavailable, reason: outcome.ReasonLeaving,
-		after: attempt.ComeBackAfterEnd(end.Sub(x.began), x.p.rand.Float64()),
+		after: attempt.RetryAfterShutdown(end.Sub(x.began), x.p.rand.Float64()),
 	}
 }
--- a/transport/outbound/proxy.go
+++ b/transport/outbound/proxy.go
@@ -82,8 +82,8 @@
 	started  time.Time
 	outcomes sync.Map // label -> *metrics.Counter
 	times    sync.Map // class -> *metrics.Histogram
-	returns  *attempt.Returns
-	together *attempt.Together
+	returns  *attempt.RefusalHistory
+	together *attempt.CallGroups
 	returned *metrics.Counter
 	held     atomic.Int64              // bytes of large answers that are read whole
 	end      atomic.Pointer[time.Time] // nil while the node isn't ending
@@ -95,7 +95,7 @@
 		cfg.Details = cfg.Logger
 	}
 	return &Proxy{
-		cfg: cfg, rand: random.New(cfg.Seed), started: cfg.Now(), returns: attempt.NewReturns(), together: attempt.NewTogether(),
+		cfg: cfg, rand: random.New(cfg.Seed), started: cfg.Now(), returns: attempt.NewRefusalHistory(), together: attempt.NewCallGroups(),
 		returned: cfg.Metrics.GetOrCreateCounter("jacinthgate_outbound_returned_total"),
 	}
 }
@@ -118,7 +118,7 @@
 		return
 	}
 	if found.Fault != nil {
-		p.reject(w, r, refusal{status: http.StatusServiceUnavailable, reason: outcome.ReasonRouteFault, after: attempt.ComeBackToFault(p.rand.Float64())})
+		p.reject(w, r, refusal{status: http.StatusServiceUnavailable, reason: outcome.ReasonRouteFault, after: attempt.RetryAfterRouteFault(p.rand.Float64())})
 		return
 	}
 	if n := table.Limits().BodyBytes; n > 0 && r.ContentLength > n {
@@ -142,7 +142,7 @@
 
 // comeBackToStart returns when the caller of a node that starts should come back.
 func (p *Proxy) comeBackToStart(now time.Time) time.Duration {
-	return attempt.ComeBackToStart(now.Sub(p.started), p.rand.Float64())
+	return attempt.RetryAfterStart(now.Sub(p.started), p.rand.Float64())
 }
 
 // way returns what sends to a backend server's gate.
--- a/transport/outbound/repeat.go
+++ b/transport/outbound/repeat.go
@@ -16,7 +16,7 @@
 // with it. The result ends the latter.
 func (x *exchange) join() (leave func()) {
 	if x.called = x.p.cfg.Runs.Call(x.until()); x.called {
-		x.p.cfg.Budget.Called(x.began, x.service.Name)
+		x.p.cfg.Budget.NestedCall(x.began, x.service.Name)
 	} else {
 		x.p.cfg.Budget.Request(x.began, x.service.Name)
 	}
@@ -39,7 +39,7 @@
 	if err != nil {
 		return // a gate that tells something else tells nothing
 	}
-	x.p.cfg.Budget.Told(x.p.cfg.Now(), x.service.Name, attempt.StrainOf(percent))
+	x.p.cfg.Budget.ObserveUsage(x.p.cfg.Now(), x.service.Name, attempt.BudgetUsageOf(percent))
 }
 
 // repeat reports whether the request may be sent to one more backend server.
@@ -50,7 +50,7 @@
 	}
 	now := x.p.cfg.Now()
 	if x.failure != nil {
-		ok = x.p.cfg.Budget.RepeatFailed(now, x.service.Name, gain)
+		ok = x.p.cfg.Budget.RepeatAfterFailure(now, x.service.Name, gain)
 	} else {
 		ok = x.p.cfg.Budget.Repeat(now, x.service.Name, gain)
 	}
--- a/transport/outbound/slow_test.go
+++ b/transport/outbound/slow_test.go
@@ -65,7 +65,7 @@
 		p.cfg.Near, p.cfg.Far, p.cfg.Zone = s, s, c.zone
 		if c.late {
 			r, now := httptest.NewRequest(http.MethodGet, "http://h/x", nil), p.cfg.Now()
-			p.returns.Refused(uint64(forward.Fingerprint(r, nil)), now.Add(-target), now.Add(time.Second))
+			p.returns.Record(uint64(forward.Fingerprint(r, nil)), now.Add(-target), now.Add(time.Second))
 		}
 		r := httptest.NewRequest(http.MethodGet, "http://h/x", nil)
 		if c.body {
