--- a/coordination/share/allocator.go
+++ b/coordination/share/allocator.go
@@ -11,51 +11,52 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// Allocator is the zone reader's side of the sharing: it grants its own
-// Holder, which splits the grant over the zone, lends to other zones what the
-// zone does not use, and asks them for what it lacks. It takes Lead, Follow,
-// Limits, core.Tick and core.Received with Demand (of its own Holder or
-// another zone's reader) and Shares (of another zone's reader). It is not safe
-// for concurrent use.
+// Allocator is the zone reader's side of the sharing. It makes the zone's
+// grants to its own Holder, which splits them over the zone. It lends other
+// zones the unused part of its zone's share, and requests loans from them if
+// its zone needs more than that share. It takes Lead, Follow, Limits,
+// core.Tick, core.PeerUp, core.PeerDown and core.Received with Demand (of its
+// own Holder or another zone's reader) and Shares (of another zone's reader).
+// It is not safe for concurrent use.
 type Allocator struct {
 	cfg  Config
 	self model.NodeID
 	zone model.Zone
 
-	limits  *snapshot.Snapshot
-	leading bool
-	lead    Lead
-	quiet   time.Time // before it grants are only renewed
-	unsure  time.Time // before it loans may be live that this reader does not know of
-	next    time.Time
-	settled bool // at least once
+	limits            *snapshot.Snapshot
+	leading           bool
+	lead              Lead
+	graceUntil        time.Time // end of the grace period, in which grants are only renewed
+	unknownLoansUntil time.Time // until then loans to an earlier reader may be live that are not in loans
+	nextAllocation    time.Time
+	allocated         bool // whether allocate has run since Lead
 
 	sequence sequence
 
-	own    claimant
-	sure   map[string]Amount       // of what the own zone held when it was first seen
-	asks   map[model.Zone]claimant // what other zones want to borrow
-	loans  map[model.Zone]loan     // what they lent
-	ledger ledger                  // grants to the own Holder and loans
-	links  *links                  // to the other zones' readers
+	ownZone   claimant
+	renewable map[string]Amount       // lower bound of the own zone's grants, renewed in the grace period
+	borrowers map[model.Zone]claimant // last loan requests of other zones
+	loans     map[model.Zone]loan     // loans from other zones
+	ledger    ledger                  // grants to the own Holder and loans to other zones
+	codec     *deltaCodec             // for messages with the other zones' readers
 }
 
-// claimant is the last demand of the own zone or another one.
+// claimant is the last reported demand of the own zone or of another zone.
 type claimant struct {
 	demand map[string]Amount
-	held   map[string]Amount // grants in use
+	inUse  map[string]Amount // grants in use
 	nodes  uint32
 	seen   time.Time
 }
 
-// loan is what another zone lends.
+// loan is the set of amounts that another zone lends to this one.
 type loan struct {
 	items    map[string]Amount
 	until    time.Time
 	sequence uint64
 }
 
-// NewAllocator returns an allocator that does not lead.
+// NewAllocator returns an Allocator that is not its zone's reader.
 func NewAllocator(cfg Config, self model.NodeID, zone model.Zone) *Allocator {
 	a := &Allocator{cfg: cfg, self: self, zone: zone, limits: snapshot.Empty()}
 	a.reset()
@@ -63,18 +64,18 @@
 }
 
 func (a *Allocator) reset() {
-	a.leading, a.settled = false, false
-	a.own = claimant{}
-	a.sure = make(map[string]Amount)
-	a.asks = make(map[model.Zone]claimant)
+	a.leading, a.allocated = false, false
+	a.ownZone = claimant{}
+	a.renewable = make(map[string]Amount)
+	a.borrowers = make(map[model.Zone]claimant)
 	a.loans = make(map[model.Zone]loan)
 	a.ledger = make(ledger)
-	a.links = newLinks()
+	a.codec = newDeltaCodec()
 }
 
-// Step takes an event and returns what to do.
+// Step handles an event and returns the resulting actions.
 func (a *Allocator) Step(now time.Time, e core.Event) []core.Action {
-	return a.links.shorten(a.self, a.step(now, e))
+	return a.codec.encode(a.self, a.step(now, e))
 }
 
 func (a *Allocator) step(now time.Time, e core.Event) []core.Action {
@@ -82,43 +83,43 @@
 	case Limits:
 		a.limits = e.Snapshot
 	case Lead:
-		a.startLead(now, e)
+		a.startLeading(now, e)
 	case Follow:
 		a.reset()
 	case core.PeerUp:
-		a.links.forget(e.Record.Node)
+		a.codec.forget(e.Record.Node)
 	case core.PeerDown:
-		a.links.forget(e.Node)
+		a.codec.forget(e.Node)
 	case core.Received:
-		return a.received(now, e)
+		return a.receive(now, e)
 	case core.Tick:
-		if a.leading && !now.Before(a.next) {
-			a.next = now.Add(a.cfg.Interval)
-			return a.settle(now)
+		if a.leading && !now.Before(a.nextAllocation) {
+			a.nextAllocation = now.Add(a.cfg.Interval)
+			return a.allocate(now)
 		}
 	}
 	return nil
 }
 
-// gatherIntervals is how many intervals a new reader waits for reports before
-// its first grants; with a part of the reports it would take from those who
-// reported.
+// gatherIntervals is the number of intervals for which a new reader waits for
+// reports before its first allocation. With only some of the reports it would
+// reduce the grants of the nodes that have reported.
 const gatherIntervals = 2
 
-// startLead begins with a quiet time: grants and loans of an earlier reader of
-// the zone may be live that this one does not know of.
-func (a *Allocator) startLead(now time.Time, e Lead) {
+// startLeading starts the grace period: grants and loans of an earlier reader
+// of the zone may be live that this reader has no record of.
+func (a *Allocator) startLeading(now time.Time, e Lead) {
 	if !a.leading {
 		a.reset()
 		a.leading = true
-		a.quiet = now.Add(a.cfg.LoanTTL + a.cfg.Slack)
-		a.unsure = a.quiet
-		a.next = now.Add(gatherIntervals * a.cfg.Interval)
+		a.graceUntil = now.Add(a.cfg.LoanTTL + a.cfg.Slack)
+		a.unknownLoansUntil = a.graceUntil
+		a.nextAllocation = now.Add(gatherIntervals * a.cfg.Interval)
 	}
 	a.lead = e
 }
 
-func (a *Allocator) received(now time.Time, e core.Received) []core.Action {
+func (a *Allocator) receive(now time.Time, e core.Received) []core.Action {
 	zone, known := a.zoneOf(e.From)
 	if !a.leading || !known {
 		return nil
@@ -134,12 +135,12 @@
 
 func (a *Allocator) receiveDemand(now time.Time, zone model.Zone, from model.NodeID, m *message.Demand) []core.Action {
 	if from == a.self {
-		a.demand(now, zone, from, m)
+		a.recordDemand(now, zone, from, m)
 		return nil
 	}
-	whole, resync := a.links.demand(from, m)
-	if whole != nil {
-		a.demand(now, zone, from, whole)
+	full, resync := a.codec.decodeDemand(from, m)
+	if full != nil {
+		a.recordDemand(now, zone, from, full)
 	}
 	return resync
 }
@@ -148,52 +149,55 @@
 	if zone == a.zone {
 		return nil
 	}
-	whole, resync := a.links.shares(a.self, from, a.zone, m)
-	if whole != nil {
-		a.borrow(now, zone, whole)
+	full, resync := a.codec.decodeShares(a.self, from, a.zone, m)
+	if full != nil {
+		a.recordLoan(now, zone, full)
 	}
 	return resync
 }
 
-// demand notes a demand. What a claimant that was not known reports to hold
-// goes into the books, as granted by an earlier reader.
-func (a *Allocator) demand(now time.Time, zone model.Zone, from model.NodeID, m *message.Demand) {
-	c := claimant{demand: demanded(m.Items), held: held(m.Items), nodes: max(m.Nodes, 1), seen: now}
+// recordDemand stores the demand of the own zone or of another one. Grants in
+// use in the first demand of another zone are loans from an earlier reader of
+// this zone; they are added to the ledger.
+func (a *Allocator) recordDemand(now time.Time, zone model.Zone, from model.NodeID, m *message.Demand) {
+	c := claimant{demand: demandByLimit(m.Items), inUse: inUseByLimit(m.Items), nodes: max(m.Nodes, 1), seen: now}
 	a.ledger.confirm(from, m.Applied)
-	knew := a.knowledge()
+	before := a.coverage()
 	if zone == a.zone {
-		a.own = c
-		a.noteHeld(now, sureOf(m.Hops))
-		a.hurry(now, knew)
+		a.ownZone = c
+		a.recordRenewable(now, certainFraction(m.Hops))
+		a.allocateEarly(now, before)
 		return
 	}
-	if _, known := a.asks[zone]; !known {
-		a.ledger.putAll(from, c.held, now.Add(a.cfg.LoanTTL+a.cfg.Slack))
+	if _, known := a.borrowers[zone]; !known {
+		a.ledger.putInherited(from, c.inUse, now.Add(a.cfg.LoanTTL+a.cfg.Slack))
 	}
-	a.asks[zone] = c
-	a.hurry(now, knew)
+	a.borrowers[zone] = c
+	a.allocateEarly(now, before)
 }
 
-// hurry brings the next grants forward when the last report of the zone or of
-// all zones has come in that a new reader waited for.
-func (a *Allocator) hurry(now time.Time, knew knowledge) {
-	if a.settled && now.Before(a.quiet) && a.knowledge() != knew {
-		a.next = now
+// allocateEarly brings the next allocation forward if the last report that a
+// new reader waited for, from its own zone or from the other zones, has
+// arrived in the grace period.
+func (a *Allocator) allocateEarly(now time.Time, before coverage) {
+	if a.allocated && now.Before(a.graceUntil) && a.coverage() != before {
+		a.nextAllocation = now
 	}
 }
 
-// noteHeld remembers in the quiet time the most that the own zone is sure to
-// have held. Renewing no more than that keeps what earlier readers lent safe.
-func (a *Allocator) noteHeld(now time.Time, sure float64) {
-	if !now.Before(a.quiet) {
+// recordRenewable records in the grace period the largest amount that the own
+// zone is certain to have held. Renewing no more than that leaves the loans of
+// earlier readers covered.
+func (a *Allocator) recordRenewable(now time.Time, fraction float64) {
+	if !now.Before(a.graceUntil) {
 		return
 	}
-	for limit, h := range a.own.held {
-		a.sure[limit] = a.sure[limit].larger(h.times(sure))
+	for limit, inUse := range a.ownZone.inUse {
+		a.renewable[limit] = a.renewable[limit].larger(inUse.times(fraction))
 	}
 }
 
-func (a *Allocator) borrow(now time.Time, from model.Zone, m *message.Shares) {
+func (a *Allocator) recordLoan(now time.Time, from model.Zone, m *message.Shares) {
 	l := loan{items: make(map[string]Amount, len(m.Items)), sequence: m.Sequence}
 	l.until = now.Add(time.Duration(m.TTLMillis) * time.Millisecond)
 	for _, item := range m.Items {
@@ -214,66 +218,67 @@
 	return "", false
 }
 
-// settle grants, lends and asks once.
-func (a *Allocator) settle(now time.Time) []core.Action {
-	a.settled = true
+// allocate makes the grants, loans and loan requests of one interval.
+func (a *Allocator) allocate(now time.Time) []core.Action {
+	a.allocated = true
 	a.ledger.expire(now)
-	a.dropSilent(now)
-	a.endQuiet(now)
+	a.dropStaleClaimants(now)
+	a.endGrace(now)
 	out := newBatch(a.sequence.next(now))
-	for _, limit := range a.inUse() {
-		whole, ok := Total(a.limits, limit)
+	for _, limit := range a.requestedLimits() {
+		fleetLimit, ok := FleetLimit(a.limits, limit)
 		if !ok {
 			continue
 		}
-		part := whole.times((1 - a.cfg.Floor) / float64(max(a.lead.Zones, 1)))
-		ids, plan := a.plan(now, limit, part)
-		a.grant(now, limit, part, plan, out)
-		a.lend(now, limit, part, ids, plan, out)
-		a.ask(now, limit, part, out)
+		zoneShare := fleetLimit.times((1 - a.cfg.Floor) / float64(max(a.lead.Zones, 1)))
+		ids, plan := a.planLoans(now, limit, zoneShare)
+		a.grantOwnZone(now, limit, zoneShare, plan, out)
+		a.lend(now, limit, zoneShare, ids, plan, out)
+		a.requestLoans(now, limit, zoneShare, out)
 	}
 	return out.actions(a, now)
 }
 
-// endQuiet ends the quiet time early once what earlier readers granted is
-// known.
-func (a *Allocator) endQuiet(now time.Time) {
-	if all := (knowledge{zone: true, zones: true}); now.Before(a.quiet) && a.knowledge() == all {
-		for limit, h := range a.own.held {
-			a.ledger.put(limit, a.self, grant{amount: h, until: now.Add(a.cfg.TTL + a.cfg.Slack)})
+// endGrace ends the grace period early once all grants of earlier readers have
+// been reported, and adds those of the own zone to the ledger.
+func (a *Allocator) endGrace(now time.Time) {
+	if complete := (coverage{ownZone: true, otherZones: true}); now.Before(a.graceUntil) && a.coverage() == complete {
+		for limit, inUse := range a.ownZone.inUse {
+			a.ledger.put(limit, a.self, grant{amount: inUse, until: now.Add(a.cfg.TTL + a.cfg.Slack)})
 		}
-		a.quiet = now
+		a.graceUntil = now
 	}
 }
 
-// knowledge says what a new reader knows of earlier grants.
-type knowledge struct {
-	zone  bool // all members of the own zone have reported
-	zones bool // all other zones have reported
+// coverage describes which of the reports that list the grants of earlier
+// readers a new reader has received.
+type coverage struct {
+	ownZone    bool // all members of the own zone have reported
+	otherZones bool // all other zones have reported
 }
 
-func (a *Allocator) knowledge() knowledge {
-	return knowledge{
-		zone:  int(a.own.nodes) >= max(a.lead.Members, a.cfg.ZoneMembers),
-		zones: len(a.asks) >= a.lead.Zones-1,
+func (a *Allocator) coverage() coverage {
+	return coverage{
+		ownZone:    int(a.ownZone.nodes) >= max(a.lead.Members, a.cfg.ZoneMembers),
+		otherZones: len(a.borrowers) >= a.lead.Zones-1,
 	}
 }
 
-func (a *Allocator) dropSilent(now time.Time) {
-	oldest := now.Add(-childIntervals * a.cfg.Interval)
-	if a.own.seen.Before(oldest) {
-		a.own = claimant{}
+func (a *Allocator) dropStaleClaimants(now time.Time) {
+	oldest := now.Add(-demandExpiryIntervals * a.cfg.Interval)
+	if a.ownZone.seen.Before(oldest) {
+		a.ownZone = claimant{}
 	}
-	maps.DeleteFunc(a.asks, func(_ model.Zone, c claimant) bool { return c.seen.Before(oldest) })
+	maps.DeleteFunc(a.borrowers, func(_ model.Zone, c claimant) bool { return c.seen.Before(oldest) })
 }
 
-// inUse returns the limits that anyone asks for, sorted.
-func (a *Allocator) inUse() []string {
+// requestedLimits returns the limits with demand from any zone, sorted.
+func (a *Allocator) requestedLimits() []string {
 	names := make(map[string]bool)
-	for limit := range a.own.demand {
+	for limit := range a.ownZone.demand {
 		names[limit] = true
 	}
-	for _, c := range a.asks {
+	for _, c := range a.borrowers {
 		for limit := range c.demand {
 			names[limit] = true
 		}
--- a/coordination/share/amount.go
+++ b/coordination/share/amount.go
@@ -7,7 +7,8 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// Amount is a part of one limit. Both dimensions are shared out alike.
+// Amount is a quantity of one limit. Its two dimensions are shared out
+// independently by the same rules.
 type Amount struct {
 	// PerSecond is a rate in requests per second.
 	PerSecond float64
@@ -33,66 +34,72 @@
 	return Amount{max(a.PerSecond, b.PerSecond), max(a.Concurrency, b.Concurrency)}
 }
 
-// rounding is the error that sums of amounts may have.
-const rounding = 1e-9
+// tolerance is the relative and absolute error that sums of amounts may have
+// from floating-point arithmetic.
+const tolerance = 1e-9
 
 func (a Amount) within(b Amount) bool {
-	return a.PerSecond <= b.PerSecond*(1+rounding)+rounding && a.Concurrency <= b.Concurrency*(1+rounding)+rounding
+	return a.PerSecond <= b.PerSecond*(1+tolerance)+tolerance && a.Concurrency <= b.Concurrency*(1+tolerance)+tolerance
 }
 
-func (a Amount) positive() Amount { return a.larger(Amount{}) }
+func (a Amount) nonNegative() Amount { return a.larger(Amount{}) }
 
-// significant is the number of values of a mantissa on the wire. A number that
-// is rounded to it fits into a float of 16 bits.
-const significant = 1 << 11
+// mantissaSteps is the number of steps to which a mantissa is rounded on the
+// wire. A number with so short a mantissa fits into a 16-bit float.
+const mantissaSteps = 1 << 11
 
-// down rounds towards zero to what is short on the wire.
-func (a Amount) down() Amount {
-	return Amount{round(a.PerSecond, math.Floor), round(a.Concurrency, math.Floor)}
+// roundDown rounds each dimension towards zero to a number that encodes in few
+// bytes.
+func (a Amount) roundDown() Amount {
+	return Amount{roundMantissa(a.PerSecond, math.Floor), roundMantissa(a.Concurrency, math.Floor)}
 }
 
-// up rounds away from zero to what is short on the wire.
-func (a Amount) up() Amount {
-	return Amount{round(a.PerSecond, math.Ceil), round(a.Concurrency, math.Ceil)}
+// roundUp rounds each dimension away from zero to a number that encodes in few
+// bytes.
+func (a Amount) roundUp() Amount {
+	return Amount{roundMantissa(a.PerSecond, math.Ceil), roundMantissa(a.Concurrency, math.Ceil)}
 }
 
-func round(x float64, to func(float64) float64) float64 {
+func roundMantissa(x float64, direction func(float64) float64) float64 {
 	fraction, exponent := math.Frexp(x)
-	return math.Ldexp(to(fraction*significant)/significant, exponent)
+	return math.Ldexp(direction(fraction*mantissaSteps)/mantissaSteps, exponent)
 }
 
-// demandItem rounds up: what is held must not seem to be less.
-func demandItem(limit string, demand, held Amount) message.DemandItem {
-	demand, held = demand.up(), held.up()
+// demandItem returns a demand for the wire. It rounds up, because a receiver
+// must not underestimate the grants in use.
+func demandItem(limit string, demand, inUse Amount) message.DemandItem {
+	demand, inUse = demand.roundUp(), inUse.roundUp()
 	return message.DemandItem{
 		Limit:           limit,
 		PerSecond:       demand.PerSecond,
 		InFlight:        demand.Concurrency,
-		HeldPerSecond:   held.PerSecond,
-		HeldConcurrency: held.Concurrency,
+		HeldPerSecond:   inUse.PerSecond,
+		HeldConcurrency: inUse.Concurrency,
 	}
 }
 
-// demanded returns the demand of each limit, without negative numbers.
-func demanded(items []message.DemandItem) map[string]Amount {
+// demandByLimit returns the demand on each limit, with negative numbers
+// replaced by 0.
+func demandByLimit(items []message.DemandItem) map[string]Amount {
 	m := make(map[string]Amount, len(items))
 	for _, i := range items {
-		m[i.Limit] = Amount{i.PerSecond, i.InFlight}.positive()
+		m[i.Limit] = Amount{i.PerSecond, i.InFlight}.nonNegative()
 	}
 	return m
 }
 
-// held returns the grants in use of each limit, without negative numbers.
-func held(items []message.DemandItem) map[string]Amount {
+// inUseByLimit returns the grants in use of each limit, with negative numbers
+// replaced by 0.
+func inUseByLimit(items []message.DemandItem) map[string]Amount {
 	m := make(map[string]Amount, len(items))
 	for _, i := range items {
-		m[i.Limit] = Amount{i.HeldPerSecond, i.HeldConcurrency}.positive()
+		m[i.Limit] = Amount{i.HeldPerSecond, i.HeldConcurrency}.nonNegative()
 	}
 	return m
 }
 
-// zeroes returns the same limits without amounts.
-func zeroes(m map[string]Amount) map[string]Amount {
+// zeroAmounts returns a map with the keys of m and zero amounts.
+func zeroAmounts(m map[string]Amount) map[string]Amount {
 	z := make(map[string]Amount, len(m))
 	for limit := range m {
 		z[limit] = Amount{}
@@ -107,11 +114,11 @@
 	}
 }
 
-// Total returns the fleet-wide limit of the given name, organisation or
-// organisation/class. It returns false for one that the snapshot does not have. A
-// dimension without a limit of its own is 0.
-func Total(s *snapshot.Snapshot, name string) (Amount, bool) {
-	organisation, className, isClass := cutName(name)
+// FleetLimit returns the fleet-wide limit of the given name, which is
+// organisation or organisation/class. It returns false if the snapshot has no
+// such limit. A dimension without a limit of its own is 0.
+func FleetLimit(s *snapshot.Snapshot, name string) (Amount, bool) {
+	organisation, className, isClass := splitLimitName(name)
 	e := s.Contract(organisation)
 	if e == nil {
 		return Amount{}, false
--- a/coordination/share/chain.go
+++ b/coordination/share/chain.go
@@ -7,48 +7,51 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// chains keeps, for each peer, what the last message of one direction said.
-type chains[T comparable] map[model.NodeID]*chain[T]
+// deltaChains holds, for each peer, the content of the last message in one
+// direction.
+type deltaChains[T comparable] map[model.NodeID]*deltaChain[T]
 
-// chain is the whole of the last message.
-type chain[T comparable] struct {
+// deltaChain is the full content of the last message, the base of the next
+// delta.
+type deltaChain[T comparable] struct {
 	sequence uint64
 	items    map[string]T
 }
 
-// shorten returns what differs from the last message to the peer: the new and
-// changed items, the limits that are gone, and how far the sequence has risen
-// since. That is 0 for the first message, which is whole.
-func (c chains[T]) shorten(to model.NodeID, sequence uint64, items []T, limit func(T) string) (changed []T, gone []string, since uint64) {
-	now := &chain[T]{sequence: sequence, items: make(map[string]T, len(items))}
+// encode returns the difference from the last message to the peer: the new and
+// changed items, the limits that were removed, and the increase of the
+// sequence since that message. The increase is 0 for the first message, which
+// is full.
+func (c deltaChains[T]) encode(to model.NodeID, sequence uint64, items []T, limit func(T) string) (changed []T, removed []string, since uint64) {
+	current := &deltaChain[T]{sequence: sequence, items: make(map[string]T, len(items))}
 	last := c[to]
-	c[to] = now
+	c[to] = current
 	for _, item := range items {
-		now.items[limit(item)] = item
+		current.items[limit(item)] = item
 	}
 	if last == nil {
 		return items, nil, 0
 	}
 	for _, item := range items {
-		if before, had := last.items[limit(item)]; !had || before != item {
+		if before, existed := last.items[limit(item)]; !existed || before != item {
 			changed = append(changed, item)
 		}
 	}
 	for name := range last.items {
-		if _, has := now.items[name]; !has {
-			gone = append(gone, name)
+		if _, exists := current.items[name]; !exists {
+			removed = append(removed, name)
 		}
 	}
-	slices.Sort(gone)
-	return changed, gone, sequence - last.sequence
+	slices.Sort(removed)
+	return changed, removed, sequence - last.sequence
 }
 
-// restore returns the whole items of a message in order of their limits. It
-// returns false for a change to a message other than the last one received.
-func (c chains[T]) restore(from model.NodeID, sequence, since uint64, changed []T, gone []string, limit func(T) string) ([]T, bool) {
+// decode returns the full items of a message, sorted by limit. It returns
+// false for a delta whose base is not the last message received.
+func (c deltaChains[T]) decode(from model.NodeID, sequence, since uint64, changed []T, removed []string, limit func(T) string) ([]T, bool) {
 	last := c[from]
 	if since == 0 {
-		last = &chain[T]{items: make(map[string]T, len(changed))}
+		last = &deltaChain[T]{items: make(map[string]T, len(changed))}
 		c[from] = last
 	} else if last == nil || last.sequence != sequence-since {
 		return nil, false
@@ -57,7 +60,7 @@
 	for _, item := range changed {
 		last.items[limit(item)] = item
 	}
-	for _, name := range gone {
+	for _, name := range removed {
 		delete(last.items, name)
 	}
 	items := make([]T, 0, len(last.items))
--- a/coordination/share/delta.go
+++ b/coordination/share/delta.go
@@ -6,44 +6,45 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// links shortens the messages to each peer to what has changed since the one
-// before, and restores those of each peer. A message that follows one that was
-// lost can't be restored: it is dropped, and the sender is asked to begin anew
-// with a whole one. So the rules of sharing see whole messages only.
-type links struct {
-	demandOut, demandIn chains[message.DemandItem]
-	sharesOut, sharesIn chains[message.ShareItem]
+// deltaCodec encodes the messages to each peer as deltas to the previous
+// message, and decodes those from each peer. A delta whose base was lost can't
+// be decoded: it is dropped, and the sender is requested to continue with a
+// full message. The rest of the package therefore handles full messages only.
+type deltaCodec struct {
+	demandOut, demandIn deltaChains[message.DemandItem]
+	sharesOut, sharesIn deltaChains[message.ShareItem]
 }
 
-func newLinks() *links {
-	return &links{
-		demandOut: make(chains[message.DemandItem]),
-		demandIn:  make(chains[message.DemandItem]),
-		sharesOut: make(chains[message.ShareItem]),
-		sharesIn:  make(chains[message.ShareItem]),
+func newDeltaCodec() *deltaCodec {
+	return &deltaCodec{
+		demandOut: make(deltaChains[message.DemandItem]),
+		demandIn:  make(deltaChains[message.DemandItem]),
+		sharesOut: make(deltaChains[message.ShareItem]),
+		sharesIn:  make(deltaChains[message.ShareItem]),
 	}
 }
 
-// forget begins anew with a peer.
-func (l *links) forget(id model.NodeID) {
-	delete(l.demandOut, id)
-	delete(l.demandIn, id)
-	delete(l.sharesOut, id)
-	delete(l.sharesIn, id)
+// forget discards the state of a peer: the next message to it is full, and
+// only a full one from it can be decoded.
+func (c *deltaCodec) forget(id model.NodeID) {
+	delete(c.demandOut, id)
+	delete(c.demandIn, id)
+	delete(c.sharesOut, id)
+	delete(c.sharesIn, id)
 }
 
-// granted returns what was last granted to a peer of a limit.
-func (l *links) granted(to model.NodeID, limit string) Amount {
-	c := l.sharesOut[to]
-	if c == nil {
+// lastGranted returns the amount of a limit in the last grants to a peer.
+func (c *deltaCodec) lastGranted(to model.NodeID, limit string) Amount {
+	chain := c.sharesOut[to]
+	if chain == nil {
 		return Amount{}
 	}
-	item := c.items[limit]
+	item := chain.items[limit]
 	return Amount{item.PerSecond, item.Concurrency}
 }
 
-// shorten replaces the whole messages to other nodes among the actions.
-func (l *links) shorten(self model.NodeID, actions []core.Action) []core.Action {
+// encode replaces full messages to other nodes among the actions by deltas.
+func (c *deltaCodec) encode(self model.NodeID, actions []core.Action) []core.Action {
 	for i, a := range actions {
 		s, isSend := a.(core.Send)
 		if !isSend || s.To == self {
@@ -51,68 +52,70 @@
 		}
 		switch m := s.Message.(type) {
 		case *message.Demand:
-			s.Message = l.shortenDemand(s.To, m)
+			s.Message = c.encodeDemand(s.To, m)
 		case *message.Shares:
-			s.Message = l.shortenShares(s.To, m)
+			s.Message = c.encodeShares(s.To, m)
 		}
 		actions[i] = s
 	}
 	return actions
 }
 
-func (l *links) shortenDemand(to model.NodeID, m *message.Demand) *message.Demand {
+func (c *deltaCodec) encodeDemand(to model.NodeID, m *message.Demand) *message.Demand {
 	if m.Resync {
 		return m
 	}
-	short := *m
-	short.Items, short.Gone, short.Since = l.demandOut.shorten(to, m.Sequence, m.Items, demandLimit)
-	if short.Since != 0 {
-		short.Node = ""
+	delta := *m
+	delta.Items, delta.Gone, delta.Since = c.demandOut.encode(to, m.Sequence, m.Items, demandLimit)
+	if delta.Since != 0 {
+		delta.Node = ""
 	}
-	return &short
+	return &delta
 }
 
-func (l *links) shortenShares(to model.NodeID, m *message.Shares) *message.Shares {
+func (c *deltaCodec) encodeShares(to model.NodeID, m *message.Shares) *message.Shares {
 	if m.Resync {
 		return m
 	}
-	short := *m
-	short.Items, short.Gone, short.Since = l.sharesOut.shorten(to, m.Sequence, m.Items, shareLimit)
-	if short.Since != 0 {
-		short.Node = ""
+	delta := *m
+	delta.Items, delta.Gone, delta.Since = c.sharesOut.encode(to, m.Sequence, m.Items, shareLimit)
+	if delta.Since != 0 {
+		delta.Node = ""
 	}
-	return &short
+	return &delta
 }
 
-// demand restores a demand. It returns nil for one that can't be restored and
-// for a request to begin anew.
-func (l *links) demand(from model.NodeID, m *message.Demand) (*message.Demand, []core.Action) {
+// decodeDemand returns the full demand. If the base of the delta is missing it
+// returns nil and the request for a full message. For a resync request of the
+// peer it returns nil, and the next grants to the peer will be full.
+func (c *deltaCodec) decodeDemand(from model.NodeID, m *message.Demand) (*message.Demand, []core.Action) {
 	if m.Resync {
-		delete(l.sharesOut, from)
+		delete(c.sharesOut, from)
 		return nil, nil
 	}
-	whole := *m
+	full := *m
 	var ok bool
-	if whole.Items, ok = l.demandIn.restore(from, m.Sequence, m.Since, m.Items, m.Gone, demandLimit); !ok {
+	if full.Items, ok = c.demandIn.decode(from, m.Sequence, m.Since, m.Items, m.Gone, demandLimit); !ok {
 		return nil, []core.Action{core.Send{To: from, Priority: message.Routine, Message: &message.Shares{Node: from, Resync: true}}}
 	}
-	whole.Node = from
-	return &whole, nil
+	full.Node = from
+	return &full, nil
 }
 
-// shares restores grants, likewise.
-func (l *links) shares(self, from model.NodeID, zone model.Zone, m *message.Shares) (*message.Shares, []core.Action) {
+// decodeShares does the same for grants; after a resync request the next
+// demand to the peer will be full.
+func (c *deltaCodec) decodeShares(self, from model.NodeID, zone model.Zone, m *message.Shares) (*message.Shares, []core.Action) {
 	if m.Resync {
-		delete(l.demandOut, from)
+		delete(c.demandOut, from)
 		return nil, nil
 	}
-	whole := *m
+	full := *m
 	var ok bool
-	if whole.Items, ok = l.sharesIn.restore(from, m.Sequence, m.Since, m.Items, m.Gone, shareLimit); !ok {
+	if full.Items, ok = c.sharesIn.decode(from, m.Sequence, m.Since, m.Items, m.Gone, shareLimit); !ok {
 		return nil, []core.Action{core.Send{To: from, Priority: message.Routine, Message: &message.Demand{Zone: zone, Node: self, Resync: true}}}
 	}
-	whole.Node = self
-	return &whole, nil
+	full.Node = self
+	return &full, nil
 }
 
 func demandLimit(i message.DemandItem) string { return i.Limit }
--- a/coordination/share/delta_test.go
+++ b/coordination/share/delta_test.go
@@ -12,12 +12,13 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// A message is restored as it was or dropped; after a loss the next but one
-// gets through.
-func TestLinksRestoreWhatTheyShorten(t *testing.T) {
+// TestDeltaCodecRestoresFullMessages loses messages at random: each received
+// message is restored as it was or dropped, and a lost message costs at most
+// the one after it.
+func TestDeltaCodecRestoresFullMessages(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
-	sender, receiver := newLinks(), newLinks()
-	var restored, shortened, missed int
+	sender, receiver := newDeltaCodec(), newDeltaCodec()
+	var restored, deltas, lost int
 	for sequence := range uint64(2000) {
 		m := &message.Demand{Zone: "csepel", Node: "n1", Sequence: 7 * (sequence + 1)}
 		for _, name := range []string{"artwork", "clinic", "screens", "tabla"} {
@@ -25,31 +26,32 @@
 				m.Items = append(m.Items, message.DemandItem{Limit: name, PerSecond: float64(r.IntN(3))})
 			}
 		}
-		short := sender.shortenDemand("n0", m)
-		if len(short.Items) < len(m.Items) {
-			shortened++
+		delta := sender.encodeDemand("n0", m)
+		if len(delta.Items) < len(m.Items) {
+			deltas++
 		}
 		if r.IntN(10) == 0 {
-			missed++
+			lost++
 			continue
 		}
-		whole, actions := receiver.demand("n1", short)
-		if whole == nil {
-			request := actions[0].(core.Send).Message.(*message.Shares)
-			none, _ := sender.shares("n1", "n0", "csepel", request)
-			must.Nil(t, none)
+		full, actions := receiver.decodeDemand("n1", delta)
+		if full == nil {
+			resync := actions[0].(core.Send).Message.(*message.Shares)
+			ignored, _ := sender.decodeShares("n1", "n0", "csepel", resync)
+			must.Nil(t, ignored)
 			continue
 		}
 		restored++
-		must.SliceContainsAll(t, m.Items, whole.Items)
-		must.Eq(t, model.NodeID("n1"), whole.Node)
+		must.SliceContainsAll(t, m.Items, full.Items)
+		must.Eq(t, model.NodeID("n1"), full.Node)
 	}
-	must.Greater(t, 500, shortened)
-	must.LessEq(t, 2*missed, 2000-restored)
+	must.Greater(t, 500, deltas)
+	must.LessEq(t, 2*lost, 2000-restored)
 }
 
-// Grants go on while nothing changes, at the cost of a message without items,
-// and are whole again after a new connection.
+// TestUnchangedGrantsAreRenewedWithoutItems checks that unchanged grants are
+// renewed by messages without items, and sent in full after a resync request
+// or a new connection.
 func TestUnchangedGrantsAreRenewedWithoutItems(t *testing.T) {
 	now := time.Unix(1000, 0)
 	h := NewHolder(DefaultConfig(), "n1", "z1")
@@ -58,8 +60,8 @@
 		now = now.Add(time.Second)
 		child := &message.Demand{Zone: "z1", Node: "n2", Items: []message.DemandItem{{Limit: "tabla", PerSecond: 10}}}
 		h.Step(now, core.Received{From: "n2", Message: child})
-		whole := &message.Shares{Node: "n1", TTLMillis: 8000, Items: []message.ShareItem{{Limit: "tabla", PerSecond: rate}}}
-		actions := h.Step(now, core.Received{From: "n1", Message: whole})
+		full := &message.Shares{Node: "n1", TTLMillis: 8000, Items: []message.ShareItem{{Limit: "tabla", PerSecond: rate}}}
+		actions := h.Step(now, core.Received{From: "n1", Message: full})
 		return actions[len(actions)-1].(core.Send).Message.(*message.Shares)
 	}
 	must.Len(t, 1, grant(60).Items)
--- a/coordination/share/estimate_test.go
+++ b/coordination/share/estimate_test.go
@@ -9,8 +9,9 @@
 	"github.com/jacinthgate/jacinthgate/protocol/message"
 )
 
-// A share of the last interval's demand refuses much of a low rate; the
-// estimate covers nearly all of it and ends soon after the demand.
+// TestEstimateCoversLowRates compares estimates with shares equal to the
+// demand of the last interval, which refuse much of a low rate. The estimate
+// covers nearly all of it, and ends soon after the demand does.
 func TestEstimateCoversLowRates(t *testing.T) {
 	t.Parallel()
 	const mean, seconds = 2.0, 2000
--- a/coordination/share/events.go
+++ b/coordination/share/events.go
@@ -1,14 +1,15 @@
-// Package share shares fleet-wide limits out by demand, with grants that
-// expire.
+// Package share divides fleet-wide limits among nodes by demand, by means of
+// grants that expire.
 //
-// Of each limit a small part, the floor, is split evenly over all nodes and
-// never granted. The rest is split evenly over the zones; that is what each
-// zone owns, also when it is cut off. The zone's reader lends what its zone
-// does not use to readers that ask (Allocator). Within a zone demand is summed
-// on the way up to the reader and grants are split on the way down, by the
-// same rule at each node (Holder). Whoever grants keeps count of what it
-// granted until that has expired, so that the sum of all live grants and
-// floors stays within the limit whatever is lost on the way.
+// A small fraction of each limit, the floor, is split evenly over all nodes
+// and never granted. The rest is split evenly over the zones: each zone owns
+// its share, also while it is cut off from the others. The zone's reader lends
+// the unused part of its zone's share to readers that request it (Allocator).
+// Within a zone, demand is summed along a tree towards the reader, and grants
+// are split on the way back, by the same rule at each node (Holder). The
+// issuer of a grant keeps it in a ledger until it has expired, so that the sum
+// of all live grants and floors stays within the limit whichever messages are
+// lost.
 package share
 
 import (
@@ -17,18 +18,18 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// Measured tells the Holder what callers offered to this node since the last
-// one, for limits in use only. Drivers send one each Interval.
+// Measured reports to the Holder the demand of callers at this node since the
+// previous Measured, for limits in use only. Drivers send one each Interval.
 type Measured struct {
 	// Items must not be changed afterwards.
 	Items []message.DemandItem
 }
 
-// Route tells the Holder the way to the zone's reader. Drivers send one when
-// it changes.
+// Route sets the Holder's next hop towards the zone's reader. Drivers send one
+// when it changes.
 type Route struct {
-	// Upstream is the neighbour towards the reader. It is this node itself on
-	// the reader, and empty while there is no way.
+	// Upstream is the neighbour towards the reader. It is this node itself on the
+	// reader, and empty while no route is known.
 	Upstream model.NodeID
 	// Zones is the number of zones of the fleet, the cut ones included.
 	Zones int
@@ -37,8 +38,8 @@
 	Members int
 }
 
-// Lead tells the Allocator that this node is its zone's reader, and which
-// nodes are those of other zones. Drivers send one when it changes.
+// Lead makes the Allocator act as its zone's reader, and lists the readers of
+// the other zones. Drivers send one when it changes.
 type Lead struct {
 	// Term is the reader's lease term.
 	Term uint64
@@ -51,10 +52,10 @@
 	Readers map[model.Zone]model.NodeID
 }
 
-// Follow tells the Allocator that this node is not its zone's reader.
+// Follow makes the Allocator stop acting as its zone's reader.
 type Follow struct{}
 
-// Limits tells the Allocator the limits in force.
+// Limits sets the limits in force for the Allocator.
 type Limits struct {
 	// Snapshot is the configuration version in force.
 	Snapshot *snapshot.Snapshot
@@ -75,13 +76,13 @@
 // Event implements core.Event.
 func (Limits) Event() {}
 
-// SetFloor sets the part of each limit that the node always has.
+// SetFloor sets the fraction of each limit that the node may always use.
 type SetFloor struct {
 	// Part is 0 to 1.
 	Part float64
 }
 
-// SetShare sets what is granted to the node of one limit, on top of the floor.
+// SetShare sets the node's grant of one limit, in addition to the floor.
 type SetShare struct {
 	// Limit is the limit's name.
 	Limit string
--- a/coordination/share/ledger.go
+++ b/coordination/share/ledger.go
@@ -7,23 +7,25 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// grant is an amount that holds for a time.
+// grant is an amount that is valid until a point in time.
 type grant struct {
 	amount   Amount
 	until    time.Time
-	sequence uint64 // of the message that carried it
+	sequence uint64 // of the message that carried the grant
 }
 
-// covers reports whether g allows all that o allows.
+// covers reports whether g allows at least what o allows, for at least as
+// long.
 func (g grant) covers(o grant) bool {
 	return g.amount.larger(o.amount) == g.amount && !g.until.Before(o.until)
 }
 
-// ledger remembers what was granted to whom. A grant counts until it has
-// expired or the claimant has confirmed a later one: the later one may be lost.
+// ledger records the grants of each limit to each claimant. A grant counts
+// until it expires or the claimant confirms a later one, because the message
+// with the later one may be lost.
 type ledger map[string]map[model.NodeID][]grant
 
-// live returns the most that a claimant may be using of a limit.
+// live returns the largest amount of a limit that a claimant may be using.
 func (l ledger) live(limit string, id model.NodeID, now time.Time) Amount {
 	var most Amount
 	for _, g := range l[limit][id] {
@@ -34,8 +36,9 @@
 	return most
 }
 
-// others returns the most that all claimants but id may be using.
-func (l ledger) others(limit string, id model.NodeID, now time.Time) Amount {
+// liveExcept returns the largest amount of a limit that all claimants except
+// id may be using together.
+func (l ledger) liveExcept(limit string, id model.NodeID, now time.Time) Amount {
 	var sum Amount
 	for other := range l[limit] {
 		if other != id {
@@ -45,8 +48,9 @@
 	return sum
 }
 
-// put adds a grant in place of those it covers. It takes over the lowest of
-// their sequences: since that message the claimant has had no more than g.
+// put adds a grant and removes those that it covers. The new grant takes over
+// the lowest of their sequences, because the claimant has had no more than g
+// since the message with that sequence.
 func (l ledger) put(limit string, id model.NodeID, g grant) {
 	if l[limit] == nil {
 		l[limit] = make(map[model.NodeID][]grant)
@@ -64,16 +68,19 @@
 	l[limit][id] = append(kept, g)
 }
 
-// putAll adds grants that the claimant reports to hold from before.
-func (l ledger) putAll(id model.NodeID, held map[string]Amount, until time.Time) {
-	for limit, a := range held {
+// putInherited adds the grants that a claimant reports to hold from an earlier
+// issuer.
+func (l ledger) putInherited(id model.NodeID, inUse map[string]Amount, until time.Time) {
+	for limit, a := range inUse {
 		if a != (Amount{}) {
 			l.put(limit, id, grant{amount: a, until: until})
 		}
 	}
 }
 
-// confirm forgets, for each limit, the grants that an applied one replaced.
+// confirm removes, for each limit, the grants older than the newest one that
+// the claimant has applied. The argument applied is the sequence of the newest
+// message whose grants the claimant keeps to.
 func (l ledger) confirm(id model.NodeID, applied uint64) {
 	for _, claimants := range l {
 		var newest uint64
@@ -82,13 +89,13 @@
 				newest = max(newest, g.sequence)
 			}
 		}
-		if grants, any := claimants[id]; any {
+		if grants, found := claimants[id]; found {
 			claimants[id] = slices.DeleteFunc(grants, func(g grant) bool { return g.sequence < newest })
 		}
 	}
 }
 
-// expire forgets the grants that have expired.
+// expire removes the grants that have expired.
 func (l ledger) expire(now time.Time) {
 	for limit, claimants := range l {
 		for id, grants := range claimants {
@@ -104,8 +111,8 @@
 	}
 }
 
-// sequence numbers messages. It rises over restarts too, as far as the host's
-// clock does.
+// sequence generates message sequence numbers. They rise across restarts too,
+// as long as the host's clock does not go back.
 type sequence uint64
 
 func (s *sequence) next(now time.Time) uint64 {
--- a/coordination/share/steady.go
+++ b/coordination/share/steady.go
@@ -7,141 +7,148 @@
 	"github.com/jacinthgate/jacinthgate/protocol/message"
 )
 
-// steady follows a node's demand up at once and down late, so that random
-// changes of a low demand are not reported.
-type steady struct {
-	window int // measurements after which a limit may fall
-	limits map[string]*level
+// smoother smooths a node's demand with a peak hold, so that random variations
+// of a low demand are not reported: increases and drops beyond random
+// variation apply at once, other decreases only after a window.
+type smoother struct {
+	window int // measurements in a window
+	limits map[string]*peakHold
 }
 
-// level is what a node asks of one limit.
-type level struct {
-	demand Amount
-	peak   Amount // largest measurement of the window
-	left   int    // measurements to the window's end
+// peakHold is the smoothed demand of a node on one limit.
+type peakHold struct {
+	demand    Amount
+	peak      Amount // largest measurement of the current window
+	remaining int    // measurements until the window ends
 }
 
-func newSteady(window int) *steady {
-	return &steady{window: window, limits: make(map[string]*level)}
+func newSmoother(window int) *smoother {
+	return &smoother{window: window, limits: make(map[string]*peakHold)}
 }
 
-// fallBelow is the part of the demand that a window's peak must be below for
-// the demand to fall to the peak.
-const fallBelow = 0.7
+// decreaseThreshold is the fraction of the demand below which the peak of a window
+// must be for the demand to be lowered to that peak.
+const decreaseThreshold = 0.7
 
-// measure takes a measurement and returns what to ask for.
-func (s *steady) measure(items []message.DemandItem) map[string]Amount {
-	now := demanded(items)
-	for limit := range now {
+// update adds a measurement and returns the smoothed demand on each limit.
+func (s *smoother) update(items []message.DemandItem) map[string]Amount {
+	measured := demandByLimit(items)
+	for limit := range measured {
 		if s.limits[limit] == nil {
-			s.limits[limit] = &level{left: s.window}
+			s.limits[limit] = &peakHold{remaining: s.window}
 		}
 	}
-	maps.DeleteFunc(s.limits, func(limit string, l *level) bool {
-		_, inUse := now[limit]
-		l.measure(now[limit], s.window)
-		return !inUse && l.demand == Amount{}
+	maps.DeleteFunc(s.limits, func(limit string, p *peakHold) bool {
+		_, inUse := measured[limit]
+		p.update(measured[limit], s.window)
+		return !inUse && p.demand == Amount{}
 	})
 	out := make(map[string]Amount, len(s.limits))
-	for limit, l := range s.limits {
-		out[limit] = l.demand
+	for limit, p := range s.limits {
+		out[limit] = p.demand
 	}
 	return out
 }
 
-func (l *level) measure(a Amount, window int) {
-	l.demand = Amount{
-		PerSecond:   follow(l.demand.PerSecond, a.PerSecond),
-		Concurrency: follow(l.demand.Concurrency, a.Concurrency),
+func (p *peakHold) update(a Amount, window int) {
+	p.demand = Amount{
+		PerSecond:   followDemand(p.demand.PerSecond, a.PerSecond),
+		Concurrency: followDemand(p.demand.Concurrency, a.Concurrency),
 	}
-	l.peak = l.peak.larger(a)
-	l.left--
-	if l.left > 0 {
+	p.peak = p.peak.larger(a)
+	p.remaining--
+	if p.remaining > 0 {
 		return
 	}
-	l.demand = Amount{
-		PerSecond:   fall(l.demand.PerSecond, l.peak.PerSecond),
-		Concurrency: fall(l.demand.Concurrency, l.peak.Concurrency),
+	p.demand = Amount{
+		PerSecond:   lowerToPeak(p.demand.PerSecond, p.peak.PerSecond),
+		Concurrency: lowerToPeak(p.demand.Concurrency, p.peak.Concurrency),
 	}
-	l.peak, l.left = Amount{}, window
+	p.peak, p.remaining = Amount{}, window
 }
 
-// randomDeviations is how many standard deviations of a Poisson process a
-// measurement may lie below the demand by chance. A lower one is followed at
-// once.
-const randomDeviations = 3
+// noiseDeviations is the number of standard deviations of a Poisson process by
+// which a measurement below the demand counts as random variation. A larger
+// drop is applied at once.
+const noiseDeviations = 3
 
-func follow(demand, measured float64) float64 {
-	if measured < demand-randomDeviations*math.Sqrt(demand) {
+func followDemand(demand, measured float64) float64 {
+	if measured < demand-noiseDeviations*math.Sqrt(demand) {
 		return measured
 	}
 	return max(demand, measured)
 }
 
-func fall(demand, peak float64) float64 {
-	if peak < fallBelow*demand {
+func lowerToPeak(demand, peak float64) float64 {
+	if peak < decreaseThreshold*demand {
 		return peak
 	}
 	return demand
 }
 
-// near returns last where it serves as well as a and is allowed, else a: small
-// changes are not worth a message.
-func near(last, a, allowed Amount) Amount {
+// reuseLast returns, in each dimension, the last amount if it is allowed and
+// close enough to a, else a. A small change is not worth a message.
+func reuseLast(last, a, allowed Amount) Amount {
 	return Amount{
-		PerSecond:   nearOne(last.PerSecond, a.PerSecond, allowed.PerSecond),
-		Concurrency: nearOne(last.Concurrency, a.Concurrency, allowed.Concurrency),
+		PerSecond:   reuseLastValue(last.PerSecond, a.PerSecond, allowed.PerSecond),
+		Concurrency: reuseLastValue(last.Concurrency, a.Concurrency, allowed.Concurrency),
 	}
 }
 
-// leastNear and mostNear bound the part of an amount that serves as well.
-const leastNear, mostNear = 0.97, 1.2
+// minReuse and maxReuse bound the ratio of the last amount to the new one
+// within which the last one is kept.
+const minReuse, maxReuse = 0.97, 1.2
 
-func nearOne(last, a, allowed float64) float64 {
-	if last <= allowed && leastNear*a <= last && last <= mostNear*a {
+func reuseLastValue(last, a, allowed float64) float64 {
+	if last <= allowed && minReuse*a <= last && last <= maxReuse*a {
 		return last
 	}
 	return a
 }
 
-// report returns what to report of a summed demand: the last report while it
-// covers the sum and not much more, else the sum with a margin.
-func report(last, sum Amount) Amount {
+// reportDemand returns the amount to report for a summed demand: the last
+// report while it covers the sum without exceeding it by much, else the sum
+// with a margin.
+func reportDemand(last, sum Amount) Amount {
 	return Amount{
-		PerSecond:   reportOne(last.PerSecond, sum.PerSecond),
-		Concurrency: reportOne(last.Concurrency, sum.Concurrency),
+		PerSecond:   reportDemandValue(last.PerSecond, sum.PerSecond),
+		Concurrency: reportDemandValue(last.Concurrency, sum.Concurrency),
 	}
 }
 
-// reportMargin is how much a sum may rise before it is reported again, and
-// reportFall the part to which it may fall.
-const reportMargin, reportFall = 1.02, 0.8
+// reportMargin is the factor by which a new report exceeds the sum, so that
+// small increases need no report. A new report is also due once the sum falls
+// below reportLowerBound times the last one.
+const reportMargin, reportLowerBound = 1.02, 0.8
 
-func reportOne(last, sum float64) float64 {
-	if sum <= last && reportFall*last <= sum {
+func reportDemandValue(last, sum float64) float64 {
+	if sum <= last && reportLowerBound*last <= sum {
 		return last
 	}
 	return reportMargin * sum
 }
 
-// heldSure is the least part of a report of grants in use that is in use, for
-// each node that sums them; heldMargin is how much a new report adds.
-const heldSure, heldMargin = 0.97, 1.01
+// inUseLowerBound is the least fraction of reported grants in use that is
+// really in use, for each node that sums the reports. inUseMargin is the
+// factor by which a new report exceeds the grants in use.
+const inUseLowerBound, inUseMargin = 0.97, 1.01
 
-// reportHeld returns what to report of the grants in use: never less.
-func reportHeld(last, inUse Amount) Amount {
+// reportInUse returns the amount to report as grants in use. It never
+// underestimates them.
+func reportInUse(last, inUse Amount) Amount {
 	return Amount{
-		PerSecond:   reportHeldOne(last.PerSecond, inUse.PerSecond),
-		Concurrency: reportHeldOne(last.Concurrency, inUse.Concurrency),
+		PerSecond:   reportInUseValue(last.PerSecond, inUse.PerSecond),
+		Concurrency: reportInUseValue(last.Concurrency, inUse.Concurrency),
 	}
 }
 
-func reportHeldOne(last, inUse float64) float64 {
-	if inUse <= last && heldSure*last <= inUse {
+func reportInUseValue(last, inUse float64) float64 {
+	if inUse <= last && inUseLowerBound*last <= inUse {
 		return last
 	}
-	return heldMargin * inUse
+	return inUseMargin * inUse
 }
 
-// sureOf returns the part of a report of grants in use that is in use.
-func sureOf(hops uint32) float64 { return math.Pow(heldSure, float64(hops)+1) }
+// certainFraction returns the fraction of the reported grants in use that is
+// certain to be in use, after summing over the given number of hops.
+func certainFraction(hops uint32) float64 { return math.Pow(inUseLowerBound, float64(hops)+1) }
--- a/coordination/share/steady_test.go
+++ b/coordination/share/steady_test.go
@@ -9,7 +9,7 @@
 	"github.com/jacinthgate/jacinthgate/protocol/message"
 )
 
-func TestSteadyFollowsUpAtOnceAndDownLate(t *testing.T) {
+func TestSmootherRaisesAtOnceAndLowersLate(t *testing.T) {
 	cases := []struct {
 		name           string
 		measured, want []float64 // the window is 4
@@ -21,14 +21,14 @@
 		{"ends", []float64{1, 0, 0, 0, 0, 0, 0, 0, 0}, []float64{1, 1, 1, 1, 1, 1, 1, 0, 0}},
 	}
 	for _, c := range cases {
-		s := newSteady(4)
+		s := newSmoother(4)
 		var got []float64
 		for _, x := range c.measured {
 			var items []message.DemandItem
 			if x > 0 {
 				items = append(items, message.DemandItem{Limit: "tabla", PerSecond: x})
 			}
-			got = append(got, s.measure(items)["tabla"].PerSecond)
+			got = append(got, s.update(items)["tabla"].PerSecond)
 		}
 		must.Eq(t, c.want, got, must.Sprint(c.name))
 		if c.name == "ends" {
@@ -37,9 +37,10 @@
 	}
 }
 
-// Each of many nodes on the way may round a report of grants in use: it is
-// never too low, and the sure part of it never too high.
-func TestReportedGrantsBoundThoseInUse(t *testing.T) {
+// TestReportedGrantsBoundGrantsInUse checks a report of grants in use that
+// each node on a path may round up: it is never too low, and the part of it
+// that counts as certain is never too high.
+func TestReportedGrantsBoundGrantsInUse(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
 	const hops = 3
 	inUse := 100.0
@@ -49,14 +50,14 @@
 		inUse *= 0.98 + 0.04*r.Float64()
 		before, up := reported[hops], Amount{PerSecond: inUse}
 		for i := range reported {
-			reported[i] = reportHeld(reported[i], up)
+			reported[i] = reportInUse(reported[i], up)
 			up = reported[i]
 		}
 		if reported[hops] != before {
 			changes++
 		}
 		must.GreaterEq(t, inUse, up.PerSecond)
-		must.LessEq(t, inUse*(1+rounding), up.times(sureOf(hops)).PerSecond)
+		must.LessEq(t, inUse*(1+tolerance), up.times(certainFraction(hops)).PerSecond)
 	}
 	must.Less(t, 500, changes)
 }
--- a/coordination/share/traffic_test.go
+++ b/coordination/share/traffic_test.go
@@ -16,16 +16,17 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// Load of the traffic measurement: what one node of the design's size serves
-// of one of 200 organisations.
+// Load of the traffic measurement: one node of the design's size, with one of
+// 200 organisations.
 const (
-	perNode     = 1.4  // requests per second of one organisation at one node
-	holdSeconds = 0.05 // of a request
-	spare       = 3    // limit divided by what is used of it
-	neighbours  = 8    // below a node
+	nodeRate       = 1.4  // requests per second of one organisation at one node
+	serviceSeconds = 0.05 // of a request, in seconds
+	limitFactor    = 3    // limit of an organisation divided by its demand
+	treeFanOut     = 8    // children of a node
 )
 
-// zoneTraffic is one zone whose nodes all serve the same organisations at random.
+// zoneTraffic is one zone whose nodes all serve the same organisations, with
+// random demand.
 type zoneTraffic struct {
 	fleet
 	random        *rand.Rand
@@ -44,7 +45,7 @@
 	contracts := make(map[string]*snapshot.ContractEntry)
 	for i := range organisations {
 		name := fmt.Sprintf("organisation-%04d", i)
-		rate := perNode * spare * float64(nodes)
+		rate := nodeRate * limitFactor * float64(nodes)
 		c := &model.Contract{Organisation: name, Rate: model.Rate{PerSecond: rate, Burst: 1}, Concurrency: nodes}
 		contracts[name] = &snapshot.ContractEntry{Revision: 1, Contract: c}
 		z.organisations = append(z.organisations, name)
@@ -52,32 +53,32 @@
 	s, _ := snapshot.Build(1, contracts, nil)
 	for i := range nodes {
 		m := &member{id: model.NodeID(fmt.Sprintf("csepel-host-%04d", i))}
-		m.holder, m.alloc = NewHolder(z.cfg, m.id, "csepel"), NewAllocator(z.cfg, m.id, "csepel")
+		m.holder, m.allocator = NewHolder(z.cfg, m.id, "csepel"), NewAllocator(z.cfg, m.id, "csepel")
 		z.members = append(z.members, m)
 		z.index[m.id] = m
 		z.estimators = append(z.estimators, NewEstimator())
 		z.granted = append(z.granted, make(map[string]float64))
-		up := z.members[max(i-1, 0)/neighbours]
-		z.do(m, m.holder.Step(z.now, Route{Upstream: up.id, Zones: 1, Members: nodes}))
-		m.alloc.Step(z.now, Limits{Snapshot: s})
+		up := z.members[max(i-1, 0)/treeFanOut]
+		z.apply(m, m.holder.Step(z.now, Route{Upstream: up.id, Zones: 1, Members: nodes}))
+		m.allocator.Step(z.now, Limits{Snapshot: s})
 	}
-	z.members[0].alloc.Step(z.now, Lead{Term: 1, Zones: 1, Members: nodes})
+	z.members[0].allocator.Step(z.now, Lead{Term: 1, Zones: 1, Members: nodes})
 	return z
 }
 
-// run drives the zone for whole intervals of measurement.
+// run advances virtual time by d, and counts the bytes sent.
 func (z *zoneTraffic) run(d time.Duration) {
 	for end := z.now.Add(d); z.now.Before(end); {
 		z.now = z.now.Add(step)
-		z.count()
+		z.countBytes()
 		z.deliver()
-		second := z.now.Truncate(time.Second).Equal(z.now)
+		intervalEnds := z.now.Truncate(time.Second).Equal(z.now)
 		for i, m := range z.members {
-			if second {
+			if intervalEnds {
 				z.measure(i, m)
 			}
-			z.act(i, m.holder.Step(z.now, core.Tick{}))
-			z.act(i, m.alloc.Step(z.now, core.Tick{}))
+			z.applyAndRecord(i, m.holder.Step(z.now, core.Tick{}))
+			z.applyAndRecord(i, m.allocator.Step(z.now, core.Tick{}))
 		}
 	}
 }
@@ -85,44 +86,46 @@
 func (z *zoneTraffic) measure(i int, m *member) {
 	var items []message.DemandItem
 	for _, name := range z.organisations {
-		n := poisson(z.random, perNode)
+		n := poisson(z.random, nodeRate)
 		z.offered += n
 		z.refused += max(0, n-z.granted[i][name])
 		if n > 0 {
-			items = append(items, message.DemandItem{Limit: name, PerSecond: n, InFlight: n * holdSeconds})
+			items = append(items, message.DemandItem{Limit: name, PerSecond: n, InFlight: n * serviceSeconds})
 		}
 	}
-	z.act(i, m.holder.Step(z.now, Measured{Items: z.estimators[i].Estimate(items)}))
+	z.applyAndRecord(i, m.holder.Step(z.now, Measured{Items: z.estimators[i].Estimate(items)}))
 }
 
-func (z *zoneTraffic) act(i int, actions []core.Action) {
+func (z *zoneTraffic) applyAndRecord(i int, actions []core.Action) {
 	for _, a := range actions {
 		if s, is := a.(SetShare); is {
 			z.granted[i][s.Limit] = s.Amount.PerSecond
 		}
 	}
-	z.do(z.members[i], actions)
+	z.apply(z.members[i], actions)
 }
 
-// deliver passes mail on as fleet does, and notes the grants.
+// deliver delivers the messages in transit as fleet does, and records the
+// grants.
 func (z *zoneTraffic) deliver() {
-	all := z.mail
-	z.mail = nil
+	all := z.inTransit
+	z.inTransit = nil
 	for _, x := range all {
 		to, e := z.index[x.to], core.Received{From: x.from, Message: x.message}
 		_, isDemand := x.message.(*message.Demand)
 		n, _ := strconv.Atoi(string(x.to[len(x.to)-4:]))
 		if x.from == x.to && isDemand {
-			z.act(n, to.alloc.Step(z.now, e))
+			z.applyAndRecord(n, to.allocator.Step(z.now, e))
 			continue
 		}
-		z.act(n, to.holder.Step(z.now, e))
+		z.applyAndRecord(n, to.holder.Step(z.now, e))
 	}
 }
 
-// count adds the encoded size of what is under way between two nodes.
-func (z *zoneTraffic) count() {
-	for _, x := range z.mail {
+// countBytes adds the encoded size of the messages in transit between two
+// nodes.
+func (z *zoneTraffic) countBytes() {
+	for _, x := range z.inTransit {
 		if x.from == x.to {
 			continue
 		}
@@ -134,20 +137,21 @@
 	}
 }
 
-// rates returns the bytes per second sent and received by a node on average
-// and by the busiest one, and the part of the offered requests beyond grants.
-func (z *zoneTraffic) rates(seconds float64) (mean, busiest, refused float64) {
+// rates returns the mean and the highest number of bytes per second sent and
+// received by a node, and the fraction of the offered requests that exceed
+// grants.
+func (z *zoneTraffic) rates(seconds float64) (mean, highest, refused float64) {
 	for _, b := range z.bytes {
 		mean += float64(b) / seconds / float64(len(z.bytes))
-		busiest = max(busiest, float64(b)/seconds)
+		highest = max(highest, float64(b)/seconds)
 	}
-	return mean, busiest, z.refused / z.offered
+	return mean, highest, z.refused / z.offered
 }
 
-func measureZone(nodes, organisations int) (mean, busiest, refused float64) {
-	const settle, seconds = 60 * time.Second, 40
+func measureZone(nodes, organisations int) (mean, highest, refused float64) {
+	const warmUp, seconds = 60 * time.Second, 40
 	z := newZoneTraffic(nodes, organisations)
-	z.run(settle)
+	z.run(warmUp)
 	clear(z.bytes)
 	z.offered, z.refused = 0, 0
 	z.run(seconds * time.Second)
@@ -162,32 +166,34 @@
 	return n
 }
 
-// BenchmarkControlBytes measures in virtual time; run it with -benchtime 1x.
+// BenchmarkControlBytes measures the traffic of a zone in virtual time; run it
+// with -benchtime 1x.
 func BenchmarkControlBytes(b *testing.B) {
 	for _, nodes := range []int{20, 100, 614} {
 		for _, organisations := range []int{10, 50, 200} {
 			b.Run(fmt.Sprintf("nodes=%d/limits=%d", nodes, organisations), func(b *testing.B) {
-				mean, busiest, refused := measureZone(nodes, organisations)
+				mean, highest, refused := measureZone(nodes, organisations)
 				b.ReportMetric(mean, "mean-B/s")
-				b.ReportMetric(busiest, "busiest-B/s")
+				b.ReportMetric(highest, "busiest-B/s")
 				b.ReportMetric(100*refused, "%beyond-grants")
 			})
 		}
 	}
 }
 
-// A limit in use costs few bytes on each link.
+// TestControlBytesOfALimit bounds the bytes per second that one more limit in
+// use costs on each link.
 func TestControlBytesOfALimit(t *testing.T) {
 	_, few, _ := measureZone(20, 5)
 	_, many, refused := measureZone(20, 15)
-	each := (many - few) / 10 / (neighbours + 1)
+	each := (many - few) / 10 / (treeFanOut + 1)
 	t.Logf("%.1f B/s for each limit in use and link, %.1f%% beyond grants", each, 100*refused)
 	must.LessEq(t, 2, each)
 }
 
-func TestRoundingIsShortAndOnTheSafeSide(t *testing.T) {
+func TestRoundingIsCompactAndConservative(t *testing.T) {
 	for _, x := range []float64{0, 0.0123456, 0.7, 1, 3.14159, 1234.567, 60000.9} {
-		down, up := Amount{PerSecond: x}.down(), Amount{PerSecond: x}.up()
+		down, up := Amount{PerSecond: x}.roundDown(), Amount{PerSecond: x}.roundUp()
 		must.Between(t, x*0.999, down.PerSecond, x)
 		must.Between(t, x, up.PerSecond, x*1.001)
 		b, err := message.Encode(&message.Shares{Items: []message.ShareItem{{PerSecond: down.PerSecond}}})
