--- a/coordination/share/events.go
+++ b/coordination/share/events.go
@@ -31,7 +31,7 @@
 	// Upstream is the neighbour towards the reader. It is this node itself on the
 	// reader, and empty while no route is known.
 	Upstream model.NodeID
-	// Zones is the number of zones of the fleet, the cut ones included.
+	// Zones is the number of zones of the fleet, including those that are cut off.
 	Zones int
 	// Members is the number of members of the zone that are not known to have
 	// left.
@@ -43,7 +43,7 @@
 type Lead struct {
 	// Term is the reader's lease term.
 	Term uint64
-	// Zones is the number of zones of the fleet, the cut ones included.
+	// Zones is the number of zones of the fleet, including those that are cut off.
 	Zones int
 	// Members is the number of members of the zone that are not known to have
 	// left, this one included.
@@ -78,8 +78,8 @@
 
 // SetFloor sets the fraction of each limit that the node may always use.
 type SetFloor struct {
-	// Part is 0 to 1.
-	Part float64
+	// Fraction is 0 to 1.
+	Fraction float64
 }
 
 // SetShare sets the node's grant of one limit, in addition to the floor.
--- a/coordination/share/fleet_test.go
+++ b/coordination/share/fleet_test.go
@@ -112,7 +112,7 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case SetFloor:
-			m.floor = a.Part
+			m.floor = a.Fraction
 		case SetShare:
 			m.grant = a.Amount
 		case ClearShare:
@@ -357,14 +357,14 @@
 	cfg.ZoneMembers = 4
 	now := time.Unix(1000, 0)
 	h := NewHolder(cfg, "n1", "z1")
-	must.Eq(t, []core.Action{SetFloor{Part: 0.1 / 2 / 4}}, h.Step(now, Route{Upstream: "n0", Zones: 2, Members: 1}))
+	must.Eq(t, []core.Action{SetFloor{Fraction: 0.1 / 2 / 4}}, h.Step(now, Route{Upstream: "n0", Zones: 2, Members: 1}))
 	h.Step(now, Measured{Items: []message.DemandItem{{Limit: "tabla", PerSecond: 1}}})
 	must.SliceEmpty(t, h.Step(now.Add(cfg.FallbackAfter-1), core.Tick{}))
-	must.Eq(t, []core.Action{SetFloor{Part: 1.0 / 2 / 4}}, h.Step(now.Add(cfg.FallbackAfter), core.Tick{}))
+	must.Eq(t, []core.Action{SetFloor{Fraction: 1.0 / 2 / 4}}, h.Step(now.Add(cfg.FallbackAfter), core.Tick{}))
 	grants := &message.Shares{Node: "n1", Term: 2, TTLMillis: 8000, Items: []message.ShareItem{{Limit: "tabla", PerSecond: 5}}}
 	now = now.Add(20 * time.Second)
 	must.Eq(t, []core.Action{SetShare{Limit: "tabla", Amount: Amount{PerSecond: 1.5}}}, h.Step(now, core.Received{From: "n0", Message: grants}))
-	must.Eq(t, []core.Action{SetFloor{Part: 0.1 / 2 / 4}}, h.Step(now, core.Tick{}))
+	must.Eq(t, []core.Action{SetFloor{Fraction: 0.1 / 2 / 4}}, h.Step(now, core.Tick{}))
 	older := &message.Shares{Node: "n1", Term: 1, TTLMillis: 8000, Items: grants.Items}
 	must.SliceEmpty(t, h.Step(now, core.Received{From: "n0", Message: older}))
 	must.SliceEmpty(t, h.Step(now, core.Received{From: "n9", Message: grants}))
--- a/coordination/share/holder.go
+++ b/coordination/share/holder.go
@@ -186,7 +186,7 @@
 		return nil
 	}
 	h.floor = floor
-	return []core.Action{SetFloor{Part: floor}}
+	return []core.Action{SetFloor{Fraction: floor}}
 }
 
 func (h *Holder) tick(now time.Time) []core.Action {
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -104,7 +104,7 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case share.SetFloor:
-			s.limiter.SetFloor(a.Part)
+			s.limiter.SetFloor(a.Fraction)
 		case share.SetShare:
 			s.limiter.SetShare(a.Limit, admit.Share{PerSecond: a.Amount.PerSecond, Concurrency: a.Amount.Concurrency})
 		case share.ClearShare:
