--- a/coordination/balance/config.go
+++ b/coordination/balance/config.go
@@ -2,69 +2,74 @@
 
 import "time"
 
-// Config sets a Picker's policy.
+// Config is the balancing policy of a Picker.
 type Config struct {
-	// LoadTTL is how long a reported load counts. Its weight falls linearly to
-	// 0 over this time, because reports lag and a server that is not picked
-	// sends no new one.
+	// LoadTTL is how long a load report is used. Its weight falls linearly to 0 over
+	// this time, because reports are delayed and a server that is not picked sends no
+	// new one.
 	LoadTTL time.Duration
-	// SlowdownTTL is how long a reported slowdown of a host counts. Its weight falls
-	// linearly to 0: hosts that share their processors change within some 100 ms.
+	// SlowdownTTL is how long a reported slowdown of a host is used. Its weight falls
+	// linearly to 0 over this time: the slowdown of hosts that share their processors
+	// changes within some 100 ms.
 	SlowdownTTL time.Duration
-	// Completion rates servers by when the request would be answered in place of load
-	// times slowness, where servers report how slow their hosts are.
+	// Completion makes the picker compare servers by the expected completion time of the
+	// request instead of by load times slowness. It takes effect for a service once one of
+	// its servers has reported the slowdown of its host.
 	Completion bool
-	// LatencyTTL is how long the measured latency of a server counts. Its
-	// weight falls linearly to 0, so that a server that got well is tried
+	// LatencyTTL is how long the measured latency of a server is used. Its weight falls
+	// linearly to 0 over this time, so that a server that has recovered gets requests
 	// again.
 	LatencyTTL time.Duration
-	// LatencyGain is the weight of one new latency in the moving average, 0
-	// to 1.
+	// LatencyGain is the smoothing factor of a server's latency average: the weight of
+	// one new value, 0 to 1.
 	LatencyGain float64
-	// LatencyCap bounds how many times worse a slow server is rated, as a
-	// power of two.
+	// LatencyCap bounds by what factor a server's latency can raise or lower its score,
+	// as a power of two.
 	LatencyCap float64
-	// SpillMargin is how much sooner a server further away must answer than a
-	// nearer one to be taken, beyond what the request bears.
+	// SpillMargin is how much shorter the wait at a server in a farther tier must be for
+	// it to be preferred to a nearer one, in addition to the request's own tolerance
+	// (Want.Patience).
 	SpillMargin time.Duration
 	// RegionMargin replaces SpillMargin for a server in another region, where the round
 	// trip takes tens of milliseconds over links that all hosts share.
 	RegionMargin time.Duration
-	// ColdFloor is the smallest part of its share that a cold server gets,
-	// above 0.
+	// ColdFloor is the smallest fraction of its full share that a cold server gets. It
+	// must be above 0.
 	ColdFloor float64
-	// Failures is the number of failures in a row after which a server is
-	// ejected.
+	// Failures is the number of consecutive failures after which a server is ejected.
 	Failures int32
-	// FailureRate is the moving failure rate, 0 to 1, from which a server
-	// with at least MinSamples results is ejected.
+	// FailureRate is the moving failure rate, 0 to 1, from which a server with at least
+	// MinSamples results is ejected.
 	FailureRate float64
-	// FailureGain is the weight of one new result in the failure rate.
+	// FailureGain is the smoothing factor of the failure rate: the weight of one new
+	// result, 0 to 1.
 	FailureGain float64
-	// MinSamples is the number of results before rates count.
+	// MinSamples is the number of results from which the failure rate is used.
 	MinSamples int32
-	// EjectBase is the time of the first ejection; each further one doubles
-	// it.
+	// EjectBase is the duration of a server's first ejection. Each further ejection
+	// lasts twice as long as the one before.
 	EjectBase time.Duration
-	// EjectMax bounds the time of an ejection.
+	// EjectMax bounds the duration of an ejection.
 	EjectMax time.Duration
-	// TrialTimeout is how long the one trial after an ejection may take before
-	// another one is let through.
+	// TrialTimeout is how long the picker waits for the result of the single trial
+	// request after an ejection before it allows another one.
 	TrialTimeout time.Duration
-	// ZoneMisses is the number of sends in a row, to two hosts of a zone at
-	// least, that reach nobody until the zone counts as cut off. Four are no
-	// accident: one in forty packets is lost on the worst links.
+	// ZoneMisses is the number of consecutive requests, to at least two hosts of a zone,
+	// that must fail to reach their host before the zone counts as unreachable. Four in a
+	// row are hardly chance: the worst links lose one packet in forty.
 	ZoneMisses int32
-	// ZoneRetry is the time between two trials of a zone that is cut off.
+	// ZoneRetry is the time between two trial requests to an unreachable zone.
 	ZoneRetry time.Duration
-	// FastMinTier is the number of servers of a tier from which second draws prefer
-	// recently fast servers: one node's requests are too few to measure all of them.
+	// FastMinTier is the number of servers in a tier from which the second draw prefers
+	// recently fast servers: a single node sends too few requests to measure all servers
+	// of a larger tier.
 	FastMinTier int
-	// DefaultSlots stands in where neither record nor report gives slots.
+	// DefaultSlots is the number of slots assumed for a server for which neither its
+	// record nor a report gives any.
 	DefaultSlots int
 }
 
-// DefaultConfig returns the policy that docs/design/balancing.md measures.
+// DefaultConfig returns the default policy, which docs/design/balancing.md evaluates.
 func DefaultConfig() Config {
 	return Config{
 		LoadTTL:      time.Second,
--- a/coordination/balance/done.go
+++ b/coordination/balance/done.go
@@ -7,162 +7,172 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Outcome is how a request to a picked server ended, as far as it tells about
-// the server.
+// Outcome is how a request to a picked server ended, reduced to what it implies for the
+// health of the server.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a request.
 const (
-	// OK is a whole answer.
+	// OK is a complete answer.
 	OK Outcome = iota
-	// Failed is a broken connection, a timeout or an answer that tells of a
-	// broken server.
+	// Failed is a broken connection, a timeout or an answer that indicates a fault of
+	// the server.
 	Failed
-	// NotRun is a refusal by the server or its gate. With a report of full
-	// slots it tells of overload. Without one it counts as a failure: the
-	// gate did not answer, drains, or reports what is not so.
+	// NotRun is a refusal by the server or its gate. If the load report shows all slots
+	// in use, the refusal is due to overload. Otherwise it counts as a failure: the gate
+	// did not answer, is draining, or reports a wrong load.
 	NotRun
-	// Cancelled is a request that the caller gave up or that was refused for
-	// a reason of its own, such as its deadline; it tells nothing.
+	// Cancelled is a request that the caller gave up, or that was refused for a reason
+	// of its own such as its deadline. It implies nothing about the server.
 	Cancelled
-	// Unreachable is a request that didn't get to the server's host. It is a
-	// failure of the server, and tells of the way into its zone besides.
+	// Unreachable is a request that didn't reach the server's host. It counts as a
+	// failure of the server and towards marking its zone as unreachable.
 	Unreachable
 )
 
-// Result is what a request told about its server.
+// Result is the result of a request, from which the picker updates its statistics of the
+// server.
 type Result struct {
-	// Latency is the time from sending to the answer's first byte.
+	// Latency is the time from sending the request to the first byte of the answer.
 	Latency time.Duration
 	// Outcome is how the request ended.
 	Outcome Outcome
-	// Load is the reported load; nil when there was no report.
+	// Load is the load that the server's gate reported; nil without a report.
 	Load *Load
-	// Work is the request's sort of work: a server is compared with others by
-	// what they take for the same sort.
+	// Work is the request's workload. The latencies of servers are compared only within
+	// the same workload.
 	Work model.Work
-	// Typical is the time that the server's requests of this sort take on
-	// average, as its gate reports; 0 when there was no report. It tells more
-	// than Latency, which is one request's: where there are many servers a node
-	// sees each of them seldom.
+	// Typical is the mean time that requests of this workload take at the server, as
+	// reported by its gate; 0 without a report. Where it is given it replaces Latency, the
+	// value of a single request: with many servers, a node sends too few requests to each
+	// of them for an average of its own.
 	Typical time.Duration
 }
 
-// Done ends the request. It must be called exactly once for each Choice.
+// Done ends the request and updates the statistics of its server and zone. It must be
+// called exactly once for each Choice.
 func (c Choice) Done(now time.Time, r Result) {
 	at := now.UnixNano()
-	own := c.server.inFlight.Add(-1) + 1
+	inFlight := c.server.inFlight.Add(-1) + 1
 	if r.Load != nil {
-		c.server.report(*r.Load, own, at)
-		if r.Load.Slowdown > 0 && !c.group.stats.uneven.Load() {
-			c.group.stats.uneven.Store(true)
+		c.server.applyReport(*r.Load, inFlight, at)
+		if r.Load.Slowdown > 0 && !c.group.stats.slowdownReported.Load() {
+			c.group.stats.slowdownReported.Store(true)
 		}
-		average(&c.group.stats.load, float64(r.Load.Used+r.Load.Queued)/float64(r.Load.Slots), groupGain)
+		updateAverage(&c.group.stats.load, float64(r.Load.Used+r.Load.Queued)/float64(r.Load.Slots), groupGain)
 	}
-	c.noteWay(&r, at)
+	c.recordReachability(&r, at)
 	switch {
 	case r.Outcome == OK:
-		c.succeeded(&r, at)
-	case r.faulty():
-		c.failed(at)
+		c.recordSuccess(&r, at)
+	case r.countsAsFailure():
+		c.recordFailure(at)
 	default:
 		c.endTrial()
 	}
 }
 
-// faulty reports whether the result counts against the server: a failure, or a
-// refusal that the server's own report doesn't explain.
-func (r *Result) faulty() bool {
+// countsAsFailure reports whether the result counts as a failure of the server: a failed
+// request, or a refusal although the load report, if there is one, shows free slots.
+func (r *Result) countsAsFailure() bool {
 	if r.Outcome == NotRun {
 		return r.Load == nil || r.Load.Used < r.Load.Slots
 	}
 	return r.Outcome == Failed || r.Outcome == Unreachable
 }
 
-// noteWay notes whether the server's host was reached: a load comes from there.
-func (c Choice) noteWay(r *Result, at int64) {
+// recordReachability records for the server's zone whether the request reached its host.
+// A load report proves that it did.
+func (c Choice) recordReachability(r *Result, at int64) {
 	switch {
 	case r.Outcome == Unreachable:
-		c.picker.zones.of(c.Record.Zone).missed(&c.picker.cfg, c.Record.Node, at)
+		c.picker.zones.get(c.Record.Zone).recordUnreachable(&c.picker.cfg, c.Record.Node, at)
 	case r.Load != nil:
-		c.picker.zones.of(c.Record.Zone).reached()
+		c.picker.zones.get(c.Record.Zone).recordReached()
 	}
 }
 
-func (c Choice) succeeded(r *Result, at int64) {
+// recordSuccess records a complete answer, which ends an ejection if the request was the
+// trial.
+func (c Choice) recordSuccess(r *Result, at int64) {
 	cfg, s := &c.picker.cfg, c.server
 	if c.trial {
 		s.restore(at)
 	}
-	c.noteLatency(r, at)
-	s.inRow.Store(0)
-	average(&s.failureRate, 0, cfg.FailureGain)
-	countUpTo(&s.results, cfg.MinSamples)
+	c.recordLatency(r, at)
+	s.consecutiveFailures.Store(0)
+	updateAverage(&s.failureRate, 0, cfg.FailureGain)
+	incrementUpTo(&s.resultCount, cfg.MinSamples)
 }
 
-// groupGain is the weight of one new value in a group's averages.
+// groupGain is the smoothing factor of a group's averages.
 const groupGain = 0.02
 
-// priorLatencies is the number of latencies that the group's average stands
-// for in a server's own one, so that the first few don't decide alone.
+// priorLatencies is the weight of the group's average as the initial value of a server's
+// latency average, in number of latencies. It keeps the first few latencies from
+// determining the average alone.
 const priorLatencies = 3
 
-// typicalGain is the weight of a reported average in a server's own one: it is
-// one over many requests already.
-const typicalGain = 0.5
+// reportedGain is the smoothing factor for a mean latency that a gate reports. It is large
+// because the reported value is already an average over many requests.
+const reportedGain = 0.5
 
-// maxLatencies is the number from which latencies are no longer counted.
+// maxLatencies bounds the counters of latencies.
 const maxLatencies = 1000
 
-// noteLatency compares what a request took with what the group takes for such
-// work.
-func (c Choice) noteLatency(r *Result, at int64) {
+// recordLatency updates the group's mean latency of the request's workload, and the
+// server's moving average of its latency relative to that mean.
+func (c Choice) recordLatency(r *Result, at int64) {
 	s, g := c.server, c.group.stats.latency.Of(r.Work)
-	n := s.latencies.Load()
+	n := s.latencyCount.Load()
 	took, gain := r.Latency, max(c.picker.cfg.LatencyGain, 1/float64(n+1+priorLatencies))
 	if r.Typical > 0 {
-		took, gain = r.Typical, typicalGain
+		took, gain = r.Typical, reportedGain
 	}
 	v := math.Log2(float64(max(took, 1)))
 	if g.seen.CompareAndSwap(false, true) {
 		storeFloat(&g.mean, v)
 	}
-	average(&g.mean, v, max(groupGain, 1/float64(g.count.Load()+1))) // plain mean of the first values
-	countUpTo(&g.count, maxLatencies)
-	average(&s.latency, v-floatOf(&g.mean), gain)
-	countUpTo(&s.latencies, maxLatencies)
+	updateAverage(&g.mean, v, max(groupGain, 1/float64(g.count.Load()+1))) // the arithmetic mean of the first values
+	incrementUpTo(&g.count, maxLatencies)
+	updateAverage(&s.relativeLatency, v-floatOf(&g.mean), gain)
+	incrementUpTo(&s.latencyCount, maxLatencies)
 	s.latencyAt.Store(at)
 	c.updateFastSet()
 }
 
-// updateFastSet adds the server to the recently fast ones if its latency is below the
-// average, and removes it otherwise.
+// updateFastSet adds the server to its tier's fast set if its latency is below the group's
+// mean, and removes it otherwise. Tiers below Config.FastMinTier have no fast set.
 func (c Choice) updateFastSet() {
 	members, fast := c.group.tiers[c.member.tier], &c.group.fastSet[c.member.tier]
 	switch {
 	case len(members) < c.picker.cfg.FastMinTier:
-	case floatOf(&c.server.latency) < 0:
+	case floatOf(&c.server.relativeLatency) < 0:
 		fast.add(c.member, members, c.picker.rand.IntN(fastSetSize))
 	default:
 		fast.remove(c.member)
 	}
 }
 
-func (c Choice) failed(at int64) {
+// recordFailure records a failure of the server. It ejects the server after too many
+// consecutive failures or at too high a failure rate, and extends the ejection if the
+// request was the trial.
+func (c Choice) recordFailure(at int64) {
 	cfg, s := &c.picker.cfg, c.server
-	row := s.inRow.Add(1)
-	average(&s.failureRate, 1, cfg.FailureGain)
-	countUpTo(&s.results, cfg.MinSamples)
-	rate := s.results.Load() >= cfg.MinSamples && floatOf(&s.failureRate) >= cfg.FailureRate
+	consecutive := s.consecutiveFailures.Add(1)
+	updateAverage(&s.failureRate, 1, cfg.FailureGain)
+	incrementUpTo(&s.resultCount, cfg.MinSamples)
+	rateExceeded := s.resultCount.Load() >= cfg.MinSamples && floatOf(&s.failureRate) >= cfg.FailureRate
 	switch {
 	case c.trial:
-		c.picker.ejectFurther(s, at)
-	case row >= cfg.Failures || rate:
+		c.picker.extendEjection(s, at)
+	case consecutive >= cfg.Failures || rateExceeded:
 		c.picker.eject(c.group, s, at)
 	}
 }
 
-// endTrial lets another trial through when this one told nothing.
+// endTrial ends a trial without a verdict on the server, so that another one can start at
+// once.
 func (c Choice) endTrial() {
 	if c.trial {
 		c.server.trialSince.Store(0)
--- a/coordination/balance/eject.go
+++ b/coordination/balance/eject.go
@@ -7,14 +7,15 @@
 	"github.com/jacinthgate/jacinthgate/coordination/backoff"
 )
 
-// ejectRetry is how long a server that could not be ejected, because the floor
-// was reached, is left alone.
+// ejectRetry is the time until the next attempt to eject a server that could not be
+// ejected because the maximum number of servers was ejected already.
 const ejectRetry = 100 * time.Millisecond
 
-// eject takes a server out of the choice unless too many of its group are out.
-// It is off the usual path, so it may take the writers' lock.
+// eject removes a server from the candidates for a time, unless the maximum number of
+// servers of its group is ejected already. It is called only after failures, so it may
+// take the writers' lock.
 func (p *Picker) eject(g *group, s *server, at int64) {
-	if s.ejected() || at < s.ejectAgain.Load() {
+	if s.ejected() || at < s.ejectRetryAt.Load() {
 		return
 	}
 	p.mu.Lock()
@@ -22,36 +23,39 @@
 	if s.ejected() {
 		return
 	}
-	if g.ejected()+1 > g.mayEject() {
-		s.ejectAgain.Store(at + int64(ejectRetry))
+	if g.ejectedCount()+1 > g.maxEjected() {
+		s.ejectRetryAt.Store(at + int64(ejectRetry))
 		return
 	}
-	p.forgive(s, at)
-	s.ejectedUntil.Store(at + int64(p.ejectTime(s)))
+	p.resetEjections(s, at)
+	s.ejectedUntil.Store(at + int64(p.nextEjectTime(s)))
 }
 
-// forgive resets the doublings of a server that was not out for EjectMax.
-func (p *Picker) forgive(s *server, at int64) {
+// resetEjections resets the doubling of a server's ejection time if its last ejection
+// ended more than EjectMax ago.
+func (p *Picker) resetEjections(s *server, at int64) {
 	if at-s.restoredAt.Load() > int64(p.cfg.EjectMax) {
 		s.ejections.Store(0)
 	}
 }
 
-// ejectFurther ejects a server again whose trial failed.
-func (p *Picker) ejectFurther(s *server, at int64) {
-	s.ejectedUntil.Store(at + int64(p.ejectTime(s)))
+// extendEjection keeps a server ejected whose trial failed.
+func (p *Picker) extendEjection(s *server, at int64) {
+	s.ejectedUntil.Store(at + int64(p.nextEjectTime(s)))
 	s.trialSince.Store(0)
 }
 
-// ejectTime returns the time of the next ejection and doubles it.
-func (p *Picker) ejectTime(s *server) time.Duration {
+// nextEjectTime returns the duration of the server's next ejection and doubles the one
+// after it.
+func (p *Picker) nextEjectTime(s *server) time.Duration {
 	return backoff.Doubled(p.cfg.EjectBase, p.cfg.EjectMax, int(s.ejections.Add(1)-1))
 }
 
-// mayEject returns the largest number of members that may be out at one time.
-func (g *group) mayEject() int { return int(g.service.MaxEjected * float64(g.size)) }
+// maxEjected returns the largest number of members that may be ejected at one time.
+func (g *group) maxEjected() int { return int(g.service.MaxEjected * float64(g.size)) }
 
-func (g *group) ejected() int {
+// ejectedCount returns the number of ejected members.
+func (g *group) ejectedCount() int {
 	n := 0
 	for t := range g.tiers {
 		for i := range g.tiers[t] {
@@ -63,9 +67,10 @@
 	return n
 }
 
-// keepFloor lets ejected servers back in after a group shrank. p.mu is held.
-func (p *Picker) keepFloor(g *group) {
-	surplus := g.ejected() - g.mayEject()
+// enforceFloor ends ejections in excess of maxEjected, which a group has after it shrank.
+// p.mu is held.
+func (p *Picker) enforceFloor(g *group) {
+	surplus := g.ejectedCount() - g.maxEjected()
 	for t := range g.tiers {
 		for i := range g.tiers[t] {
 			s := g.tiers[t][i].server
@@ -77,7 +82,9 @@
 	}
 }
 
-func countUpTo(a *atomic.Int32, limit int32) {
+// incrementUpTo increments a counter that is below the limit. Of two concurrent calls, one
+// may have no effect.
+func incrementUpTo(a *atomic.Int32, limit int32) {
 	if n := a.Load(); n < limit {
 		a.CompareAndSwap(n, n+1)
 	}
--- a/coordination/balance/errors.go
+++ b/coordination/balance/errors.go
@@ -2,14 +2,14 @@
 
 import "strconv"
 
-// NoEndpointError reports that no backend server may take a request. The
+// NoEndpointError reports that no backend server is available for a request. The
 // request was not run.
 type NoEndpointError struct {
 	// Service is the service's name.
 	Service string
-	// Candidates is the number of serving records there were.
+	// Candidates is the number of serving records that the picker chose from.
 	Candidates int
-	// Tried is the number of servers that the request had tried before.
+	// Tried is the number of servers that the request tried before.
 	Tried int
 }
 
@@ -19,9 +19,9 @@
 		" candidates, " + strconv.Itoa(e.Tried) + " tried"
 }
 
-// LoadError reports a load header that can't be read.
+// LoadError reports a malformed load header.
 type LoadError struct {
-	// Found is the header's value.
+	// Found is the value of the header.
 	Found string
 }
 
--- a/coordination/balance/group.go
+++ b/coordination/balance/group.go
@@ -10,23 +10,23 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// tier is how far away a server is.
+// tier is the distance class of a server, seen from the picker's node.
 type tier uint8
 
 // The tiers, nearest first.
 const (
-	tierZone tier = iota
-	tierRegion
-	tierFar
+	tierZone   tier = iota // in the node's own zone
+	tierRegion             // in another zone of the node's region
+	tierFar                // anywhere else
 
 	numTiers = 3
 )
 
-// group is one service's candidates of one view, sorted by distance. It is
-// immutable but for its atomics.
+// group holds the candidates of one service in one view, divided into tiers. It is
+// immutable except for its atomics.
 type group struct {
 	service *model.Service
-	source  *endpoint.Record // first element of the view's slice
+	source  *endpoint.Record // first element of the slice of candidates
 	size    int
 	tiers   [numTiers][]member
 	fastSet [numTiers]fastSet
@@ -34,75 +34,78 @@
 	stats *stats
 }
 
-// stats are averages over a service's servers. They outlive views.
+// stats are averages over a service's servers. They are carried over from view to view.
 type stats struct {
-	latency perwork.Map[latency]
-	load    atomic.Uint64 // float64: moving average of reported load per slot
-	uneven  atomic.Bool   // a server has reported how slow its host is
+	latency          perwork.Map[latencyAverage]
+	load             atomic.Uint64 // float64: moving average of reported load per slot
+	slowdownReported atomic.Bool   // whether a server has reported its host's slowdown
 }
 
-// latency is a moving average of what requests of one sort take.
-type latency struct {
+// latencyAverage is a moving average of the latencies of requests of one workload.
+type latencyAverage struct {
 	mean  atomic.Uint64 // float64: of log2(nanoseconds)
-	seen  atomic.Bool   // false before the first
+	seen  atomic.Bool   // false before the first value
 	count atomic.Int32  // number of values, up to maxLatencies
 }
 
-// holds reports whether the group was made of this service and this slice.
-// The group keeps the slice alive, so an equal address is the same slice.
-func (g *group) holds(s *model.Service, candidates []endpoint.Record) bool {
+// builtFrom reports whether the group was built from this service and this slice. The
+// group keeps the slice alive, so an equal address means the same slice.
+func (g *group) builtFrom(s *model.Service, candidates []endpoint.Record) bool {
 	if g.service != s || g.size != len(candidates) {
 		return false
 	}
 	return g.size == 0 || g.source == &candidates[0]
 }
 
-// defaultWork stands for what requests take before the first answer: the middle
-// of what the deployments' services take, 30 to 480 ms.
-const defaultWork = 100 * time.Millisecond
+// defaultLatency is the mean latency assumed before the first answer. It lies in the middle
+// of the range of the services in deployments, 30 to 480 ms.
+const defaultLatency = 100 * time.Millisecond
 
-// typical returns what requests of a sort take on average.
-func (g *group) typical(w model.Work) time.Duration {
+// meanLatency returns the mean latency of requests of a workload.
+func (g *group) meanLatency(w model.Work) time.Duration {
 	l := g.stats.latency.Of(w)
 	if !l.seen.Load() {
-		return defaultWork
+		return defaultLatency
 	}
 	return time.Duration(math.Exp2(floatOf(&l.mean)))
 }
 
-// Load returns what a service's backend servers run and what waits in front of them, as a
-// part of their slots, over the reports of the last seconds; 0 where nothing is known, or where
-// no backend server tells how its host is: callers are told when to come back as ever there.
+// Load returns the load of a service: the running and queued requests at its backend
+// servers as a fraction of their slots, averaged over the reports of the last seconds. It
+// returns 0 without any report, and also where no backend server reports the slowdown of
+// its host; the Retry-After delay then doesn't depend on the load.
 func (p *Picker) Load(service string) float64 {
-	if g := (*p.groups.Load())[service]; g != nil && g.stats.uneven.Load() {
+	if g := (*p.groups.Load())[service]; g != nil && g.stats.slowdownReported.Load() {
 		return floatOf(&g.stats.load)
 	}
 	return 0
 }
 
+// slowStart returns the duration of the service's slow start; 0 for none.
 func (g *group) slowStart() time.Duration { return g.service.SlowStart.Std() }
 
-// group returns the group of the candidates. It is built once for each view;
-// after that the lookup takes no lock.
+// group returns the group of the candidates. It is built once for each view; later lookups
+// take no lock.
 func (p *Picker) group(s *model.Service, candidates []endpoint.Record, at int64) *group {
-	if g := (*p.groups.Load())[s.Name]; g != nil && g.holds(s, candidates) {
+	if g := (*p.groups.Load())[s.Name]; g != nil && g.builtFrom(s, candidates) {
 		return g
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old := (*p.groups.Load())[s.Name]
-	if old != nil && old.holds(s, candidates) {
+	if old != nil && old.builtFrom(s, candidates) {
 		return old
 	}
 	g := p.build(s, candidates, old, at)
-	p.replace(func(m map[string]*group) { m[s.Name] = g })
-	p.keepFloor(g)
+	p.updateGroups(func(m map[string]*group) { m[s.Name] = g })
+	p.enforceFloor(g)
 	return g
 }
 
-// build makes a group. Servers of a service not seen before are warm: nothing
-// tells which of them is cold, and a ramp for all would only spill. A server
-// that joins a known service is cold. p.mu is held.
+// build builds a group. The servers of a service not seen before count as warm: there is
+// no information which of them are cold, and a slow start of all of them would only move
+// requests to farther tiers. A server that joins a known service begins a slow start.
+// p.mu is held.
 func (p *Picker) build(s *model.Service, candidates []endpoint.Record, old *group, at int64) *group {
 	g := &group{service: s, size: len(candidates), stats: new(stats)}
 	if len(candidates) > 0 {
@@ -113,21 +116,21 @@
 	}
 	for i := range candidates {
 		r := &candidates[i]
-		k := key{r.Node, r.Incarnation}
+		k := serverKey{r.Node, r.Incarnation}
 		known := p.servers[k]
 		if known == nil {
 			known = new(server)
 			if old != nil {
-				known.warmFrom.Store(at)
+				known.warmupStart.Store(at)
 			}
 			p.servers[k] = known
 		}
 		if known.cold.Swap(r.Cold) != r.Cold {
-			known.slots.Store(0) // reported for the previous state
+			known.slots.Store(0) // they were reported before the server became cold or warm
 		}
 		t := p.tierOf(r)
 		g.tiers[t] = append(g.tiers[t], member{
-			record: r, server: known, way: p.zones.of(r.Zone), slots: p.slotsOf(s, r), tier: t, index: int32(len(g.tiers[t])),
+			record: r, server: known, zone: p.zones.get(r.Zone), slots: p.slotsOf(s, r), tier: t, index: int32(len(g.tiers[t])),
 		})
 	}
 	for t := range g.tiers {
@@ -136,15 +139,16 @@
 	return g
 }
 
-// carryFastSet carries over a tier's recently fast members from the previous group.
+// carryFastSet carries over a tier's fast set from the previous group.
 func (g *group) carryFastSet(t tier) {
 	for i := range g.tiers[t] {
-		if m := &g.tiers[t][i]; m.server.fast.Swap(false) {
+		if m := &g.tiers[t][i]; m.server.inFastSet.Swap(false) {
 			g.fastSet[t].add(m, g.tiers[t], i)
 		}
 	}
 }
 
+// tierOf returns the tier of a server.
 func (p *Picker) tierOf(r *endpoint.Record) tier {
 	switch {
 	case r.Zone == p.zone:
@@ -156,6 +160,8 @@
 	}
 }
 
+// slotsOf returns the slots of a server according to its record: those that the service
+// doesn't leave to the older system, at least 1.
 func (p *Picker) slotsOf(s *model.Service, r *endpoint.Record) int {
 	switch {
 	case r.Cold:
@@ -166,8 +172,9 @@
 	return max(1, r.Slots-s.OlderSlots)
 }
 
-// replace swaps in a changed copy of the groups. p.mu is held.
-func (p *Picker) replace(change func(map[string]*group)) {
+// updateGroups replaces the map of groups by a copy to which change was applied. p.mu is
+// held.
+func (p *Picker) updateGroups(change func(map[string]*group)) {
 	old := *p.groups.Load()
 	m := make(map[string]*group, len(old)+1)
 	for name, g := range old {
@@ -177,15 +184,15 @@
 	p.groups.Store(&m)
 }
 
-// Prune forgets the services and servers that the view no longer holds. Call
-// it after a new view is in place, at most a few times a second.
+// Prune removes the state of services and servers that are not in the view. Call it after
+// a new view is in place, at most a few times a second.
 func (p *Picker) Prune(v *endpoint.View) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	live := make(map[key]bool, len(p.servers))
+	live := make(map[serverKey]bool, len(p.servers))
 	for _, name := range v.Services() {
 		for _, r := range v.Service(name) {
-			live[key{r.Node, r.Incarnation}] = true
+			live[serverKey{r.Node, r.Incarnation}] = true
 		}
 	}
 	for k := range p.servers {
@@ -193,7 +200,7 @@
 			delete(p.servers, k)
 		}
 	}
-	p.replace(func(m map[string]*group) {
+	p.updateGroups(func(m map[string]*group) {
 		for name := range m {
 			if len(v.Service(name)) == 0 {
 				delete(m, name)
--- a/coordination/balance/load_test.go
+++ b/coordination/balance/load_test.go
@@ -7,8 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// The load of a host that is as slow as usual has the form that older nodes read.
-func TestLoadTellsASlowHost(t *testing.T) {
+// The load header contains the host's slowdown only if it isn't 100 percent, since older nodes
+// can't parse it.
+func TestLoadEncodesTheHostSlowdown(t *testing.T) {
 	for text, l := range map[string]Load{
 		"3/10/2":         {Used: 3, Slots: 10, Queued: 2},
 		"3/10/2/1500":    {Used: 3, Slots: 10, Queued: 2, Work: 1500 * time.Microsecond},
--- a/coordination/balance/many_test.go
+++ b/coordination/balance/many_test.go
@@ -15,8 +15,8 @@
 )
 
 // The model is one zone of many hosts, each with a backend server and an entry node that sends
-// a few requests per second. A third of the backend servers takes more than twice as long as
-// the others. Service times are log-normal.
+// a few requests per second. About a third of the backend servers take more than twice as long
+// as the others. Service times are log-normal.
 const (
 	manyHosts  = 160
 	manySlots  = 7
@@ -27,22 +27,24 @@
 	manyRun    = 20 * time.Second
 )
 
-var manySpeeds = []float64{0.7, 0.7, 1.6}
+// manyDurations are the factors, relative to manyMean, of the service times of the backend
+// servers.
+var manyDurations = []float64{0.7, 0.7, 1.6}
 
 // manyServer is one backend server.
 type manyServer struct {
-	speed   float64
+	factor  float64 // of its service times, one of manyDurations
 	busy    int
 	queue   []func()
-	typical time.Duration // moving average of what requests take
-	ran     int
+	typical time.Duration // moving average of the time that requests take
+	ran     int           // number of requests
 }
 
 func (s *manyServer) load() *Load {
 	return &Load{Used: s.busy, Slots: manySlots, Queued: len(s.queue), Work: s.typical}
 }
 
-// manyModel is the model's state.
+// manyModel is the state of the simulation.
 type manyModel struct {
 	now            time.Duration
 	timers         timers
@@ -52,12 +54,14 @@
 	late, answered int
 }
 
+// after schedules a call in virtual time.
 func (w *manyModel) after(d time.Duration, do func()) { heap.Push(&w.timers, timer{w.now + d, do}) }
 
+// serve runs a request in a free slot, then takes the next one from the queue.
 func (w *manyModel) serve(s *manyServer, work time.Duration, reply func()) {
 	s.busy++
 	s.ran++
-	took := time.Duration(float64(work) * s.speed)
+	took := time.Duration(float64(work) * s.factor)
 	w.after(took, func() {
 		s.busy--
 		if s.typical == 0 {
@@ -73,7 +77,7 @@
 	})
 }
 
-// request sends one request of an entry node.
+// request sends one request from an entry node.
 func (w *manyModel) request(t *testing.T, p *Picker, service *model.Service) {
 	began := w.now
 	size := math.Exp(w.rand.NormFloat64()*manySigma - manySigma*manySigma/2)
@@ -102,14 +106,14 @@
 	s.queue = append(s.queue, serve)
 }
 
-// runMany returns the fraction of late answers at a load, given as a fraction of the capacity,
-// and the number of backend servers that got no request.
+// runMany simulates a load, given as a fraction of the capacity. It returns the fraction of
+// answers that are late and the number of backend servers that got no request.
 func runMany(t *testing.T, seed uint64, load float64) (late float64, unused int) {
 	w := &manyModel{rand: rand.New(rand.NewPCG(seed, 9))}
 	service := &model.Service{Name: "s", MaxEjected: 0.5}
 	var pickers []*Picker
 	for i := range manyHosts {
-		w.servers = append(w.servers, &manyServer{speed: manySpeeds[w.rand.IntN(len(manySpeeds))]})
+		w.servers = append(w.servers, &manyServer{factor: manyDurations[w.rand.IntN(len(manyDurations))]})
 		w.records = append(w.records, endpoint.Record{
 			Node: model.NodeID(strconv.Itoa(i)), Zone: "z", Region: "r", Incarnation: 1, Service: "s", Slots: manySlots,
 		})
@@ -138,19 +142,19 @@
 	return float64(w.late) / float64(w.answered), unused
 }
 
-// lateWithoutQueueing returns the fraction of requests that takes longer than the target if
-// load is spread evenly and no request waits.
+// lateWithoutQueueing returns the fraction of requests that take longer than the target if
+// the load is spread evenly and no request waits.
 func lateWithoutQueueing() float64 {
 	sum := 0.0
-	for _, speed := range manySpeeds {
-		beyond := (math.Log(float64(manyTarget)/(speed*float64(manyMean))) + manySigma*manySigma/2) / manySigma
-		sum += math.Erfc(beyond/math.Sqrt2) / 2
+	for _, factor := range manyDurations {
+		deviations := (math.Log(float64(manyTarget)/(factor*float64(manyMean))) + manySigma*manySigma/2) / manySigma
+		sum += math.Erfc(deviations/math.Sqrt2) / 2
 	}
-	return sum / float64(len(manySpeeds))
+	return sum / float64(len(manyDurations))
 }
 
-// Guards against slow servers getting an equal share where each node sends too few requests to
-// measure all servers.
+// Guards against slow servers getting an equal share of requests where each node sends too
+// few requests to measure all servers.
 func TestFastServersAreFoundAmongMany(t *testing.T) {
 	bound := lateWithoutQueueing()
 	for _, load := range []float64{0.1, 0.4, 0.7, 0.85} {
--- a/coordination/balance/picker.go
+++ b/coordination/balance/picker.go
@@ -1,10 +1,10 @@
 // Package balance picks the backend server for a request.
 //
-// Two servers are drawn at random and the less loaded one is taken, first in
-// the node's own zone, then in its region, then anywhere. What the node itself
-// sees (requests in flight, latency, failures) counts more than what a server
-// reports, because reports lag and mislead. The path of a request takes no
-// lock and allocates nothing once a view's group is built.
+// It draws two servers at random and takes the less loaded one, first in the node's own
+// zone, then in its region, then anywhere. The node's own measurements (requests in flight,
+// latency, failures) have precedence over the load that a server reports, because reports
+// are delayed and can be wrong. Once the group of a view is built, picking a server takes no
+// lock and allocates nothing.
 package balance
 
 import (
@@ -18,8 +18,9 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// draws is the number of random draws in a tier before it is scanned.
-const draws = 4
+// maxRandomDraws is the number of random draws that may miss before a tier is scanned for a
+// usable member.
+const maxRandomDraws = 4
 
 // Picker picks backend servers for one node. It is safe for concurrent use.
 type Picker struct {
@@ -31,18 +32,20 @@
 	groups atomic.Pointer[map[string]*group]
 	zones  zones
 
-	mu      sync.Mutex // held by writers only, never by a warm Pick
-	servers map[key]*server
+	// mu is held to change groups, servers and ejections. Picking from a group that is
+	// already built doesn't take it.
+	mu      sync.Mutex
+	servers map[serverKey]*server
 }
 
 // New returns a picker for a node in the given zone and region.
 func New(cfg Config, zone model.Zone, region model.Region, seed uint64) *Picker {
-	p := &Picker{cfg: cfg, zone: zone, region: region, rand: random.New(seed), servers: make(map[key]*server)}
+	p := &Picker{cfg: cfg, zone: zone, region: region, rand: random.New(seed), servers: make(map[serverKey]*server)}
 	p.groups.Store(&map[string]*group{})
 	return p
 }
 
-// Choice is a picked server. Done must be called exactly once.
+// Choice is a server picked for one request. Done must be called exactly once.
 type Choice struct {
 	// Record is the server's record in the view. It must not be changed.
 	Record *endpoint.Record
@@ -54,27 +57,27 @@
 	trial  bool
 }
 
-// Want is what a request needs of the server that is picked for it.
+// Want holds the requirements of a request on the server that is picked for it.
 type Want struct {
-	// Work is the request's sort of work.
+	// Work is the request's workload.
 	Work model.Work
-	// Patience is how long the request may wait for a slot at a near server before
-	// one further away is better for it. At 0 any wait is too long.
+	// Patience is how long the request may wait for a slot at a near server before a
+	// server in a farther tier is considered. At 0 any wait is too long.
 	Patience time.Duration
-	// Near leaves servers out that are further away than the nearest ones, also
-	// where all of those were tried or are ejected.
+	// Near restricts the choice to the nearest tier that has servers, even if all of
+	// them were tried or are ejected.
 	Near bool
 }
 
-// Pick chooses among the candidates for a request of which nothing is known: it
-// goes further away where it would wait for a slot. See PickFor.
+// Pick picks a server for a request without known requirements: it considers a farther tier
+// as soon as the request would wait for a slot. See PickFor.
 func (p *Picker) Pick(now time.Time, s *model.Service, candidates []endpoint.Record, tried *Tried) (Choice, error) {
 	return p.PickFor(now, s, candidates, tried, Want{Work: model.WorkOf(model.KindInteractive)})
 }
 
-// PickFor chooses among the candidates, which should be the slice of the current
-// view itself: a copy is taken for a new view and indexed again. tried may be
-// nil. The error is a *NoEndpointError; the request was not run.
+// PickFor picks one of the candidates. They should be the slice of the current view itself:
+// a copy of it counts as a new view, for which the group is built again. tried may be nil.
+// The error is a *NoEndpointError; the request was not run.
 func (p *Picker) PickFor(now time.Time, s *model.Service, candidates []endpoint.Record, tried *Tried, want Want) (Choice, error) {
 	at := now.UnixNano()
 	g := p.group(s, candidates, at)
@@ -89,9 +92,9 @@
 	return Choice{Record: m.record, picker: p, group: g, member: m, server: m.server, trial: trial}, nil
 }
 
-// PickNode chooses the given node's server among the candidates, and reports false
-// where it is none of them, was tried, or is ejected. candidates and tried are as
-// for Pick.
+// PickNode picks the server of the given node. It returns false if the server is not among
+// the candidates, is excluded by tried, is ejected, or is in an unreachable zone, unless a
+// trial is due. candidates and tried are as for PickFor.
 func (p *Picker) PickNode(now time.Time, s *model.Service, candidates []endpoint.Record, id model.NodeID, tried *Tried) (Choice, bool) {
 	at := now.UnixNano()
 	g := p.group(s, candidates, at)
@@ -112,14 +115,14 @@
 	return Choice{}, false
 }
 
-// choose goes outwards tier by tier and stops at the first server where the
-// request is delayed no more than it bears. A server further away is taken only
-// where it is sooner by SpillMargin and by what the request bears: a crossing
-// that saves its caller nothing only costs.
+// choose searches the tiers from the nearest outwards and stops at the first member at which
+// the request waits no longer than want.Patience. A member of a farther tier is preferred
+// only if the wait there is shorter by more than the tier's margin plus want.Patience:
+// crossing zones has a cost, which must be outweighed by a gain for the caller.
 func (p *Picker) choose(g *group, tried *Tried, want Want, at int64) (best *member, trial bool) {
-	var least time.Duration
+	var bestWait time.Duration
 	for t := range g.tiers {
-		m, delay, trial := p.chooseIn(g, g.tiers[t], tried, want, at)
+		m, wait, trial := p.chooseInTier(g, g.tiers[t], tried, want, at)
 		if m == nil && want.Near && len(g.tiers[t]) > 0 {
 			break
 		}
@@ -129,17 +132,18 @@
 		if trial {
 			return m, true
 		}
-		if best == nil || delay+p.margin(tier(t))+want.Patience < least {
-			best, least = m, delay
+		if best == nil || wait+p.margin(tier(t))+want.Patience < bestWait {
+			best, bestWait = m, wait
 		}
-		if delay <= want.Patience || want.Near {
+		if wait <= want.Patience || want.Near {
 			break
 		}
 	}
 	return best, false
 }
 
-// margin returns how much sooner a server of a tier must answer to be preferred to a nearer one.
+// margin returns how much shorter the wait at a server of a tier must be for it to be
+// preferred to a nearer one.
 func (p *Picker) margin(t tier) time.Duration {
 	if t == tierFar {
 		return p.cfg.RegionMargin
@@ -147,9 +151,9 @@
 	return p.cfg.SpillMargin
 }
 
-// chooseIn returns the better of two random members and the delay there, or a
-// member that is due for its trial.
-func (p *Picker) chooseIn(g *group, members []member, tried *Tried, want Want, at int64) (*member, time.Duration, bool) {
+// chooseInTier returns the better of two randomly drawn members and the expected wait for a
+// slot there, or an ejected member whose trial is due.
+func (p *Picker) chooseInTier(g *group, members []member, tried *Tried, want Want, at int64) (*member, time.Duration, bool) {
 	a, trial := p.draw(members, nil, tried, at)
 	if a == nil {
 		return nil, 0, false
@@ -167,61 +171,65 @@
 	}
 	if b != nil {
 		loadB := b.server.loadPerSlot(&p.cfg, g, b, at)
-		if p.rate(g, b, loadB, want, at) < p.rate(g, a, loadA, want, at) {
+		if p.score(g, b, loadB, want, at) < p.score(g, a, loadA, want, at) {
 			a, loadA = b, loadB
 		}
 	}
-	return a, p.delay(g, a, loadA, want, at), false
+	return a, p.slotWait(g, a, loadA, want, at), false
 }
 
-// rate returns what a request would meet at the member: the load with the
-// request itself, times how slow the member is and how slow its host is now.
-func (p *Picker) rate(g *group, m *member, load float64, want Want, at int64) float64 {
+// score returns the cost of sending a request to the member; lower is better. It is the
+// load including the request itself, times the member's slowness and its host's slowdown, or
+// the completion time if Config.Completion applies.
+func (p *Picker) score(g *group, m *member, load float64, want Want, at int64) float64 {
 	s := m.server
 	slow := s.slowness(&p.cfg, at) * s.slowdown(&p.cfg, at)
-	if p.cfg.Completion && g.stats.uneven.Load() {
-		return p.completion(g, m, load, want, slow, at)
+	if p.cfg.Completion && g.stats.slowdownReported.Load() {
+		return p.completionTime(g, m, load, want, slow, at)
 	}
 	return (load + 1/float64(m.slots)) * slow
 }
 
-// completion returns how long the request would take at the member: its wait for a slot
-// and its own time, in nanoseconds. What is reported is old by the time that the request
-// arrives, so that the wait begins before all slots are in use: a queue for as many
-// slots, each as likely in use as the load says, stands for it.
-func (p *Picker) completion(g *group, m *member, load float64, want Want, slow float64, at int64) float64 {
+// completionTime returns the expected time, in nanoseconds, that the request takes at the
+// member: the wait for a slot plus its own latency. A report is out of date by the time the
+// request arrives, so a wait is possible even before all slots are in use. It is estimated as
+// the request's own latency times the probability that queueExponent slots are all in use,
+// each with a probability equal to the load including this request.
+func (p *Picker) completionTime(g *group, m *member, load float64, want Want, slow float64, at int64) float64 {
 	slots := m.server.slotsOr(m.slots)
-	own := float64(g.typical(want.Work)) * slow
-	work := float64(m.server.workOr(g.typical(want.Work))) * m.server.slowdown(&p.cfg, at)
+	latency := float64(g.meanLatency(want.Work)) * slow
+	slotTime := float64(m.server.slotTimeOr(g.meanLatency(want.Work))) * m.server.slowdown(&p.cfg, at)
 	waiting := max(0, load*slots+1-slots)
-	crowd := math.Pow(min(load+1/slots, 1), completionPower)
-	return own*(1+crowd) + waiting/slots*work
+	allInUse := math.Pow(min(load+1/slots, 1), queueExponent)
+	return latency*(1+allInUse) + waiting/slots*slotTime
 }
 
-// completionPower is how steeply the wait that is expected rises with the load before all
+// queueExponent determines how steeply the expected wait rises with the load before all
 // slots are in use.
-const completionPower = 2
+const queueExponent = 2
 
-// delay returns how long a request would wait for a slot at the member. How slow
-// it seems doesn't count: sound servers differ by twice and more, and a really
-// slow one has a queue. How slow its host is at this moment does, for what waits.
-func (p *Picker) delay(g *group, m *member, load float64, want Want, at int64) time.Duration {
+// slotWait returns the expected time that a request waits for a slot at the member. It
+// ignores the server's slowness: the latencies of healthy servers differ by a factor of two
+// and more, and a server that is really slow has a queue. It includes the slowdown of the
+// host, which lengthens the queued work.
+func (p *Picker) slotWait(g *group, m *member, load float64, want Want, at int64) time.Duration {
 	s := m.server
 	slots := s.slotsOr(m.slots)
 	waiting := max(0, load*slots+1-slots)
-	work := float64(s.workOr(g.typical(want.Work))) * s.slowdown(&p.cfg, at)
-	return time.Duration(waiting / slots * work)
+	slotTime := float64(s.slotTimeOr(g.meanLatency(want.Work))) * s.slowdown(&p.cfg, at)
+	return time.Duration(waiting / slots * slotTime)
 }
 
-// drawFast returns a recently fast member other than a for fastSetDraws of totalDraws
-// draws in a large tier; nil if there is none, and for other draws.
+// drawFast returns a usable, recently fast member other than a. It returns nil if the one
+// drawn isn't usable, in a tier below Config.FastMinTier, and for all but fastSetDraws of
+// totalDraws draws.
 func (p *Picker) drawFast(g *group, a *member, members []member, tried *Tried, at int64) *member {
 	if len(members) < p.cfg.FastMinTier || p.rand.IntN(totalDraws) >= fastSetDraws {
 		return nil
 	}
 	m := g.fastSet[a.tier].draw(members, p.rand.IntN(fastSetSize))
 	if m == nil || m.server.ejected() {
-		return nil // only random draws make trials
+		return nil // trials are started by random draws only
 	}
 	if ok, _ := p.usable(m, a, tried, at); !ok {
 		return nil
@@ -229,42 +237,45 @@
 	return m
 }
 
-// draw returns a random member that may be used, other than not.
-func (p *Picker) draw(members []member, not *member, tried *Tried, at int64) (*member, bool) {
+// draw returns a random usable member other than except, and whether it is picked for its
+// trial; nil if no member is usable.
+func (p *Picker) draw(members []member, except *member, tried *Tried, at int64) (*member, bool) {
 	n := len(members)
 	if n == 0 {
 		return nil, false
 	}
 	start := 0
-	for range draws {
+	for range maxRandomDraws {
 		start = p.rand.IntN(n)
-		if ok, trial := p.usable(&members[start], not, tried, at); ok {
+		if ok, trial := p.usable(&members[start], except, tried, at); ok {
 			return &members[start], trial
 		}
 	}
 	for i := range n {
 		m := &members[(start+i)%n]
-		if ok, trial := p.usable(m, not, tried, at); ok {
+		if ok, trial := p.usable(m, except, tried, at); ok {
 			return m, trial
 		}
 	}
 	return nil, false
 }
 
-func (p *Picker) usable(m, not *member, tried *Tried, at int64) (ok, trial bool) {
-	if m == not || tried.excludes(m.record) {
+// usable reports whether a request may be sent to the member, which must not be except, and
+// whether it is the member's trial. It starts the trials that it allows.
+func (p *Picker) usable(m, except *member, tried *Tried, at int64) (ok, trial bool) {
+	if m == except || tried.excludes(m.record) {
 		return false, false
 	}
 	if !m.server.ejected() {
-		return m.way.passes(&p.cfg, at), false
+		return m.zone.admit(&p.cfg, at), false
 	}
-	trial = m.way.open(at) && m.server.startTrial(&p.cfg, at) && m.way.passes(&p.cfg, at)
+	trial = m.zone.available(at) && m.server.startTrial(&p.cfg, at) && m.zone.admit(&p.cfg, at)
 	return trial, trial
 }
 
-// lastResort returns an ejected member that was not tried: a doubtful server
-// is better than none. One in a zone that is cut off is not: its caller would only
-// wait for nothing.
+// lastResort returns a member that isn't excluded, even if it is ejected: a server that may
+// be faulty is better than none. It skips members in unreachable zones without a due trial,
+// where the caller would only wait in vain.
 func (p *Picker) lastResort(g *group, tried *Tried, at int64) *member {
 	for t := range g.tiers {
 		members := g.tiers[t]
@@ -274,7 +285,7 @@
 		start := p.rand.IntN(len(members))
 		for i := range members {
 			m := &members[(start+i)%len(members)]
-			if !tried.excludes(m.record) && m.way.passes(&p.cfg, at) {
+			if !tried.excludes(m.record) && m.zone.admit(&p.cfg, at) {
 				return m
 			}
 		}
--- a/coordination/balance/picker_test.go
+++ b/coordination/balance/picker_test.go
@@ -16,13 +16,14 @@
 
 var start = time.Unix(1000, 0)
 
+// at returns the time d after start.
 func at(d time.Duration) time.Time { return start.Add(d) }
 
 func service(maxEjected float64) *model.Service {
 	return &model.Service{Name: "foglalas", MaxEjected: maxEjected, SlowStart: model.Duration(10 * time.Second)}
 }
 
-// records makes n records named a, b, ... in the zone "z1".
+// records returns n records of the nodes a, b, ... in the zone "z1".
 func records(n int) []endpoint.Record {
 	rs := make([]endpoint.Record, n)
 	for i := range rs {
@@ -33,7 +34,7 @@
 
 func newPicker() *Picker { return New(DefaultConfig(), "z1", "r1", 1) }
 
-// counts picks n times without load and returns how often each node came.
+// counts picks n times without load and returns how often each node was picked.
 func counts(t *testing.T, p *Picker, now time.Time, s *model.Service, rs []endpoint.Record, n int) map[model.NodeID]int {
 	got := make(map[model.NodeID]int)
 	for range n {
@@ -45,7 +46,8 @@
 	return got
 }
 
-// fail ends n picks of the node with the result and the others with OK.
+// finish picks until the node was picked n times. It ends these requests with the result and
+// all others with OK.
 func finish(t *testing.T, p *Picker, now time.Time, s *model.Service, rs []endpoint.Record, id model.NodeID, r Result, n int) {
 	for tries := 0; n > 0 && tries < 10000; tries++ {
 		c, err := p.Pick(now, s, rs, nil)
@@ -65,10 +67,10 @@
 	must.NoError(t, err)
 	must.Eq(t, Load{Used: 3, Slots: 10, Queued: 2}, l)
 	must.Eq(t, "3/10/2", l.String())
-	for _, bad := range []string{"", "3/10", "3/0/1", "-1/10/0", "3/10/x", "1/10/0/0", "99999999/10/0"} {
-		_, err := ParseLoad(bad)
+	for _, malformed := range []string{"", "3/10", "3/0/1", "-1/10/0", "3/10/x", "1/10/0/0", "99999999/10/0"} {
+		_, err := ParseLoad(malformed)
 		var want *LoadError
-		must.True(t, errors.As(err, &want), must.Sprint(bad))
+		must.True(t, errors.As(err, &want), must.Sprint(malformed))
 	}
 }
 
@@ -106,7 +108,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			p, s, rs := newPicker(), service(0.25), records(4)
-			for i := range 3 { // slowly, so that a refusal's report has aged
+			for i := range 3 { // apart in time, so that the load report of a refusal has expired
 				finish(t, p, at(time.Duration(i)*1100*time.Millisecond), s, rs, "a", c.result, 1)
 			}
 			must.Eq(t, c.ejects, counts(t, p, at(3400*time.Millisecond), s, rs, 200)["a"] == 0)
@@ -115,27 +117,27 @@
 	p, s, rs := newPicker(), service(0.25), records(4)
 	finish(t, p, start, s, rs, "a", Result{Outcome: Failed}, 3)
 	finish(t, p, start, s, rs, "b", Result{Outcome: Failed}, 20)
-	must.Positive(t, counts(t, p, at(time.Second), s, rs, 200)["b"]) // the floor keeps b in
+	must.Positive(t, counts(t, p, at(time.Second), s, rs, 200)["b"]) // b stays: only one server may be ejected
 
-	// After the ejection one trial goes through; its failure doubles the time.
+	// After the ejection time one trial is allowed. Its failure doubles the ejection time.
 	finish(t, p, at(3*time.Second), s, rs, "a", Result{Outcome: Failed}, 1)
 	must.Zero(t, counts(t, p, at(6*time.Second), s, rs, 200)["a"])
 	var trial Choice
 	for trial.Record == nil || trial.Record.Node != "a" {
 		trial, _ = p.Pick(at(8*time.Second), s, rs, nil)
 	}
-	must.Zero(t, counts(t, p, at(8*time.Second), s, rs, 200)["a"]) // one at a time
+	must.Zero(t, counts(t, p, at(8*time.Second), s, rs, 200)["a"]) // only one trial at a time
 	trial.Done(at(8*time.Second), Result{Outcome: OK, Latency: time.Millisecond})
 	must.Positive(t, counts(t, p, at(30*time.Second), s, rs, 200)["a"])
 }
 
-func TestFloorHoldsWhenTheGroupShrinks(t *testing.T) {
+func TestEjectionsEndWhenTheGroupShrinks(t *testing.T) {
 	p, s, rs := newPicker(), service(0.5), records(4)
 	finish(t, p, start, s, rs, "a", Result{Outcome: Failed}, 3)
 	finish(t, p, start, s, rs, "b", Result{Outcome: Failed}, 3)
 	fewer := append([]endpoint.Record(nil), rs[:2]...)
 	got := counts(t, p, at(time.Second), s, fewer, 100)
-	must.MapLen(t, 1, got) // one of two may stay out
+	must.MapLen(t, 1, got) // only one of the two may stay ejected
 }
 
 func TestColdServersStartSlowly(t *testing.T) {
@@ -144,7 +146,7 @@
 	next := append([]endpoint.Record(nil), rs...)
 	next[0].Incarnation = 2
 	share := func(d time.Duration) int {
-		var open []Choice
+		var inFlight []Choice
 		n := 0
 		for range 20 { // half of the slots are in use
 			c, err := p.Pick(at(d), s, next, nil)
@@ -152,9 +154,9 @@
 			if c.Record.Node == "a" {
 				n++
 			}
-			open = append(open, c)
+			inFlight = append(inFlight, c)
 		}
-		for _, c := range open {
+		for _, c := range inFlight {
 			c.Done(at(d), Result{Outcome: Cancelled})
 		}
 		return n
@@ -171,15 +173,15 @@
 	rs[4].Region, rs[5].Region = "r2", "r2"
 	got := counts(t, p, start, s, rs, 100)
 	must.Eq(t, 100, got["a"]+got["b"])
-	open := make(map[model.Zone]int)
+	inFlight := make(map[model.Zone]int)
 	for range 30 { // more than the 20 slots of the zone
 		c, err := p.Pick(start, s, rs, nil)
 		must.NoError(t, err)
-		open[c.Record.Zone+model.Zone(c.Record.Region)]++
+		inFlight[c.Record.Zone+model.Zone(c.Record.Region)]++
 	}
-	must.GreaterEq(t, 18, open["z1r1"])
-	must.GreaterEq(t, 8, open["z2r1"])
-	must.Zero(t, open["z2r2"])
+	must.GreaterEq(t, 18, inFlight["z1r1"])
+	must.GreaterEq(t, 8, inFlight["z2r1"])
+	must.Zero(t, inFlight["z2r2"])
 	var tried Tried
 	tried.AvoidZone("z1")
 	c, err := p.Pick(start, s, rs, &tried)
@@ -187,7 +189,7 @@
 	must.Eq(t, "z2", c.Record.Zone)
 }
 
-func TestPruneForgets(t *testing.T) {
+func TestPruneRemovesServersNotInTheView(t *testing.T) {
 	p, s := newPicker(), service(0.5)
 	table := endpoint.NewTable()
 	for _, r := range records(3) {
@@ -249,10 +251,11 @@
 	}
 }
 
-// A node of a large site sees each server seldom. What gates report lets it tell
-// fast servers from slow ones all the same, where single latencies don't.
-func TestReportedTimesTellServersApart(t *testing.T) {
-	const nodes, picks = 100, 40 // each node sees each server five times
+// A node of a large site sends few requests to each server. The mean latencies that gates
+// report let it distinguish fast servers from slow ones all the same; the latencies of its own
+// requests are too few for that.
+func TestReportedMeansIdentifyFastServers(t *testing.T) {
+	const nodes, picks = 100, 40 // each node sends each server five requests on average
 	fast := func(id model.NodeID) bool { return (id[0]-'a')%2 == 0 }
 	rng := rand.New(rand.NewPCG(1, 1))
 	share := func(typical bool) float64 {
@@ -276,14 +279,14 @@
 		}
 		return float64(got) / (nodes * picks)
 	}
-	told, own := share(true), share(false)
-	t.Logf("part of the requests at fast servers: %.3f by reports, %.3f by single latencies", told, own)
-	must.Greater(t, 0.7, told)
-	must.Less(t, 0.65, own)
+	reported, measured := share(true), share(false)
+	t.Logf("fraction of requests sent to fast servers: %.3f by reported means, %.3f by single latencies", reported, measured)
+	must.Greater(t, 0.7, reported)
+	must.Less(t, 0.65, measured)
 }
 
-// A server that happens to have run large answers only is not held to be slow.
-func TestKindsAreComparedApart(t *testing.T) {
+// A server that happened to get only bulk requests, which take longer, doesn't count as slow.
+func TestLatenciesAreComparedPerKind(t *testing.T) {
 	p, s, rs := newPicker(), service(0.5), records(2)
 	for range 50 {
 		finish(t, p, start, s, rs, "a", Result{Outcome: OK, Work: model.WorkOf(model.KindBulk), Latency: 400 * time.Millisecond}, 1)
--- a/coordination/balance/policy_test.go
+++ b/coordination/balance/policy_test.go
@@ -15,10 +15,10 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// The model: one service of 9 backend servers in 3 zones, each with 10 slots,
-// a gate's queue of 10 and exponential service times of 50 ms; 6 or 60 entry
-// proxies, spread over the zones; Poisson arrivals; 0.1 ms one way within a
-// zone and 0.5 ms between zones. Nothing is retried.
+// The model is one service of 9 backend servers in 3 zones. Each has 10 slots, a gate with a
+// queue of 10, and exponential service times with a mean of 50 ms. 6 or 60 entry proxies are
+// spread over the zones. Arrivals are Poisson. The one-way latency is 0.1 ms within a zone and
+// 0.5 ms between zones. Nothing is retried.
 const (
 	modelServers  = 9
 	modelZones    = 3
@@ -31,16 +31,18 @@
 )
 
 var (
-	compare = flag.Bool("compare", false, "compare the picker with simpler policies and with itself less one part")
+	compare = flag.Bool("compare", false, "compare the picker with simpler policies and with itself without one of its parts")
 	entries = flag.Int("entries", 6, "number of entry proxies")
-	seeds   = flag.Int("seeds", 1, "number of runs for each figure")
+	seeds   = flag.Int("seeds", 1, "number of simulations to average")
 )
 
+// timer is a call scheduled in virtual time.
 type timer struct {
 	at time.Duration
 	do func()
 }
 
+// timers is a heap, earliest first.
 type timers []timer
 
 func (t timers) Len() int           { return len(t) }
@@ -53,14 +55,18 @@
 	return last
 }
 
+// backend is one backend server with its gate.
 type backend struct {
-	slow              func(now time.Duration) float64
-	busy, most        int
-	queue             []func()
-	dead, lies, fails bool
+	// slow returns the factor of the service times; it is nil for 1.
+	slow           func(now time.Duration) float64
+	busy, maxQueue int
+	queue          []func()
+	// A dead backend server refuses requests without a load report, one that misreports
+	// always reports that it is idle, and one that fails answers with failures.
+	dead, misreports, fails bool
 }
 
-// world is the model's state and what it counts after the warm-up.
+// world is the state of the simulation and its counters, which count after the warm-up.
 type world struct {
 	entries  int
 	now      time.Duration
@@ -70,25 +76,26 @@
 	records  []endpoint.Record
 	service  *model.Service
 
-	latencies            []float64 // milliseconds of answers
+	latencies            []float64 // of answers, in milliseconds
 	offered, useful, far int
 }
 
-// policy picks for one entry proxy in a zone; done takes the result.
+// policy picks a backend server for one entry proxy. done is called with the result.
 type policy func(now time.Time) (node int, done func(time.Time, Result))
 
+// after schedules a call in virtual time.
 func (w *world) after(d time.Duration, do func()) { heap.Push(&w.timers, timer{w.now + d, do}) }
 
 func (w *world) time() time.Time { return start.Add(w.now) }
 
 func (b *backend) load() *Load {
-	if b.lies {
+	if b.misreports {
 		return &Load{Slots: modelSlots}
 	}
 	return &Load{Used: b.busy, Slots: modelSlots, Queued: len(b.queue)}
 }
 
-// arrive is a request that reaches a backend server's gate.
+// arrive handles a request at the gate of a backend server.
 func (w *world) arrive(b *backend, size float64, reply func(Result)) {
 	switch {
 	case b.dead:
@@ -97,13 +104,14 @@
 		reply(Result{Outcome: Failed, Load: b.load()})
 	case b.busy < modelSlots:
 		w.serve(b, size, reply)
-	case len(b.queue) < b.most:
+	case len(b.queue) < b.maxQueue:
 		b.queue = append(b.queue, func() { w.serve(b, size, reply) })
 	default:
 		reply(Result{Outcome: NotRun, Load: b.load()})
 	}
 }
 
+// serve runs a request in a free slot, then takes the next one from the queue.
 func (w *world) serve(b *backend, size float64, reply func(Result)) {
 	b.busy++
 	mean := float64(modelMean)
@@ -121,17 +129,17 @@
 	})
 }
 
-// request sends one request; size is its service time in parts of the mean.
+// request sends one request. size is its service time as a multiple of the mean.
 func (w *world) request(zone int, size float64, p policy) {
 	sent := w.now
 	node, done := p(w.time())
-	way := 100 * time.Microsecond
+	oneWay := 100 * time.Microsecond
 	if node%modelZones != zone {
-		way = 500 * time.Microsecond
+		oneWay = 500 * time.Microsecond
 	}
-	w.after(way, func() {
+	w.after(oneWay, func() {
 		w.arrive(w.backends[node], size, func(r Result) {
-			w.after(way, func() {
+			w.after(oneWay, func() {
 				r.Latency = w.now - sent
 				done(w.time(), r)
 				if sent < modelWarmup {
@@ -153,15 +161,18 @@
 	})
 }
 
-// figures are the results of a run.
+// figures are the results of a run: the 99th percentile of the latencies in milliseconds, the
+// fraction of requests that failed or were refused, the answers within the deadline as a fraction of
+// the capacity, and the fraction of requests sent to another zone.
 type figures struct{ p99, errors, useful, far float64 }
 
-// run offers load, in parts of the capacity, through the policies.
+// run simulates a load, given as a fraction of the capacity. make returns the policy of an
+// entry proxy.
 func run(seed uint64, entries int, load float64, prepare func(*world), make func(w *world, entry int) policy) figures {
 	w := &world{entries: entries, rand: rand.New(rand.NewPCG(seed, 2)), service: service(0.5), records: records(modelServers)}
 	for i := range w.records {
 		w.records[i].Zone = model.Zone(rune('1' + i%modelZones))
-		w.backends = append(w.backends, &backend{most: modelSlots})
+		w.backends = append(w.backends, &backend{maxQueue: modelSlots})
 	}
 	policies := []policy{}
 	for e := range entries {
@@ -195,6 +206,7 @@
 	return f
 }
 
+// roundRobin returns a policy that picks the backend servers in turn.
 func roundRobin(w *world, e int) policy {
 	i := e
 	return func(time.Time) (int, func(time.Time, Result)) {
@@ -203,9 +215,11 @@
 	}
 }
 
+// leastReported returns a policy that picks the backend server with the lowest load in its
+// last report.
 func leastReported(w *world, e int) policy {
 	last := make([]float64, modelServers)
-	coin := rand.New(rand.NewPCG(uint64(e), 3))
+	rng := rand.New(rand.NewPCG(uint64(e), 3))
 	return func(time.Time) (int, func(time.Time, Result)) {
 		best, ties := 0, 0
 		for i := range w.records {
@@ -214,7 +228,7 @@
 				best, ties = i, 1
 			case last[i] == last[best]:
 				ties++
-				if coin.IntN(ties) == 0 {
+				if rng.IntN(ties) == 0 {
 					best = i
 				}
 			}
@@ -227,6 +241,7 @@
 	}
 }
 
+// picker returns the policy of a Picker whose default configuration is changed.
 func picker(change func(*Config)) func(*world, int) policy {
 	return func(w *world, e int) policy {
 		cfg := DefaultConfig()
@@ -242,8 +257,8 @@
 	}
 }
 
-// scenarios are the faults that the policies are compared under. p99
-// (milliseconds) and errors bound the picker's figures with 6 entry proxies.
+// scenarios are the conditions and faults under which the policies are compared. p99 (in
+// milliseconds) and errors are upper bounds of the picker's figures with 6 entry proxies.
 var scenarios = []struct {
 	name        string
 	load        float64
@@ -251,9 +266,9 @@
 	prepare     func(*world)
 }{
 	{"healthy", 0.7, 245, 0.001, func(*world) {}},
-	{"one slow", 0.6, 260, 0.001, func(w *world) { w.backends[0].slow = times(8) }},
-	{"slow liar", 0.6, 260, 0.001, func(w *world) { w.backends[0].slow, w.backends[0].lies = times(8), true }},
-	{"failing liar", 0.6, 245, 0.005, func(w *world) { w.backends[0].fails, w.backends[0].lies = true, true }},
+	{"one slow", 0.6, 260, 0.001, func(w *world) { w.backends[0].slow = slowBy(8) }},
+	{"slow liar", 0.6, 260, 0.001, func(w *world) { w.backends[0].slow, w.backends[0].misreports = slowBy(8), true }},
+	{"failing liar", 0.6, 245, 0.005, func(w *world) { w.backends[0].fails, w.backends[0].misreports = true, true }},
 	{"one cold", 0.7, 252, 0.001, func(w *world) {
 		w.service.SlowStart = model.Duration(5 * time.Second)
 		all := w.records
@@ -275,22 +290,24 @@
 	}},
 	{"crowded zone", 0.7, 365, 0.005, func(w *world) {
 		for i := 0; i < modelServers; i += modelZones {
-			w.backends[i].slow = times(2)
+			w.backends[i].slow = slowBy(2)
 		}
 	}},
 	{"overload 1.5", 1.5, 290, 0.36, func(*world) {}},
 	{"overload 3", 3, 290, 0.69, func(*world) {}},
 	{"no queue bound", 3, math.Inf(1), 1, func(w *world) {
 		for _, b := range w.backends {
-			b.most = math.MaxInt
+			b.maxQueue = math.MaxInt
 		}
 	}},
 }
 
-func times(f float64) func(time.Duration) float64 { return func(time.Duration) float64 { return f } }
+// slowBy returns a constant factor of the service times.
+func slowBy(f float64) func(time.Duration) float64 { return func(time.Duration) float64 { return f } }
 
-// TestPolicies holds the picker to its bounds. With -compare it also runs two
-// simpler policies and the picker less one part, for docs/design/balancing.md.
+// TestPolicies checks the picker against the bounds of the scenarios. With -compare it also
+// runs two simpler policies, and the picker without one of its parts, for
+// docs/design/balancing.md.
 func TestPolicies(t *testing.T) {
 	policies := []struct {
 		name string
@@ -309,7 +326,7 @@
 	}
 	for _, s := range scenarios {
 		if !*compare && math.IsInf(s.p99, 1) {
-			continue // shows what the gates' bound is for, not the picker
+			continue // it shows the effect of unbounded gate queues, not of the picker
 		}
 		got := make(map[string]figures)
 		for _, p := range policies {
@@ -332,7 +349,7 @@
 	}
 }
 
-// mean runs all seeds and returns the means.
+// mean runs all seeds and returns the means of the figures.
 func mean(run func(seed uint64) figures) figures {
 	var sum figures
 	for seed := range uint64(*seeds) {
@@ -346,9 +363,9 @@
 	return figures{sum.p99 / n, sum.errors / n, sum.useful / n, sum.far / n}
 }
 
-// tolerance is three standard errors of the difference of two throughputs: a
-// run under overload finishes about 18,000 requests of exponential size, and
-// which ones differs from policy to policy.
+// tolerance returns three standard errors of the difference between two throughputs, relative
+// to the throughput: a run under overload finishes about 18,000 requests of exponential size,
+// and each policy finishes different ones.
 func tolerance() float64 {
 	finished := (modelRun - modelWarmup).Seconds() * modelCapacity * float64(*seeds)
 	return 3 * math.Sqrt(2/finished)
--- a/coordination/balance/region_test.go
+++ b/coordination/balance/region_test.go
@@ -10,7 +10,8 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// A request confined to some regions is never sent to another one, not even as a last resort.
+// A request that is restricted to some regions is never sent to another one, not even if all
+// servers in the allowed regions are ejected.
 func TestConfinedRequestStaysInItsRegions(t *testing.T) {
 	p, s, rs := newPicker(), service(0.5), records(4)
 	for i := range rs[1:] {
@@ -38,16 +39,17 @@
 			}
 			must.NoError(t, err)
 			got[c.Record.Node] = true
-			c.Done(start, Result{Outcome: Failed}) // the confinement holds even when all allowed servers are ejected
+			c.Done(start, Result{Outcome: Failed}) // so that the allowed servers get ejected
 		}
 		must.MapEq(t, tc.want, got)
 	}
 }
 
-// A request is sent to another region only if the expected gain exceeds the round trip.
+// A request is sent to another region only if it saves more waiting time than the round trip
+// takes.
 func TestRequestCrossesToAnotherRegionOnlyForAGain(t *testing.T) {
-	for wait, crosses := range map[time.Duration]bool{40 * time.Millisecond: false, 200 * time.Millisecond: true} {
-		for region, leaves := range map[model.Region]bool{"r1": true, "r2": crosses} {
+	for wait, crossesRegion := range map[time.Duration]bool{40 * time.Millisecond: false, 200 * time.Millisecond: true} {
+		for region, leaves := range map[model.Region]bool{"r1": true, "r2": crossesRegion} {
 			p, s, rs := newPicker(), service(0.5), records(2)
 			rs[1].Zone, rs[1].Region = "z2", region
 			full := Load{Used: 10, Slots: 10, Queued: 1, Work: 10 * wait}
--- a/coordination/balance/tried.go
+++ b/coordination/balance/tried.go
@@ -7,27 +7,29 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// maxTried bounds the servers that a request remembers; retries are fewer.
+// maxTried bounds the number of nodes that a Tried excludes; a request is retried fewer
+// times than that.
 const maxTried = 4
 
-// Tried is what a request has tried in vain. The zero value is empty. It is
-// not safe for concurrent use: each request has its own.
+// Tried is the set of servers that are excluded for a request: those it has tried in vain,
+// those of a zone to avoid, and those outside its allowed regions. The zero value excludes
+// nothing. It is not safe for concurrent use: each request has its own.
 type Tried struct {
 	nodes [maxTried]model.NodeID
 	count int
 	zone  model.Zone
-	// regions are lists of allowed regions. A server's region must be in each list that isn't
-	// empty.
+	// regions holds lists of allowed regions. A server's region must be in each list that
+	// isn't empty.
 	regions [2][]model.Region
 }
 
-// Add excludes a node. Beyond four nodes the oldest is forgotten.
+// Add excludes a node. Beyond four nodes, a new one replaces the oldest.
 func (t *Tried) Add(id model.NodeID) {
 	t.nodes[t.count%maxTried] = id
 	t.count++
 }
 
-// Remove lets a node be picked again.
+// Remove ends the exclusion of a node.
 func (t *Tried) Remove(id model.NodeID) {
 	for i := range t.nodes {
 		if t.nodes[i] == id {
@@ -36,8 +38,8 @@
 	}
 }
 
-// AvoidZone excludes all servers of a zone, in place of an earlier zone. Empty
-// excludes none.
+// AvoidZone excludes all servers of a zone and replaces the zone excluded before. The empty
+// zone excludes none.
 func (t *Tried) AvoidZone(z model.Zone) { t.zone = z }
 
 // Confine excludes the servers whose region isn't in both lists. An empty list allows all
@@ -55,6 +57,7 @@
 	return t.count
 }
 
+// excludes reports whether a server is excluded. A nil *Tried excludes none.
 func (t *Tried) excludes(r *endpoint.Record) bool {
 	if t == nil {
 		return false
--- a/coordination/balance/uneven_test.go
+++ b/coordination/balance/uneven_test.go
@@ -16,9 +16,9 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// The uneven model: the backend servers of one zone with real gates in front of them and
-// real pickers at the entry nodes, in virtual time. A request takes its own time divided
-// by the server's speed, times how slow the host is when it begins.
+// The uneven model simulates the backend servers of one zone in virtual time, with real gates
+// in front of them and real pickers at the entry nodes. The service time of a request is its
+// size divided by the server's speed, times the slowdown of the host when the request begins.
 const (
 	unevenServers = 8
 	unevenSlots   = 10
@@ -30,21 +30,22 @@
 	unevenTrip    = 500 * time.Microsecond
 )
 
-// unevenWay is one of the ways that are compared.
-type unevenWay struct {
+// unevenVariant is one of the compared variants of the system.
+type unevenVariant struct {
 	name string
-	// told says that the gates are told how slow their hosts are, and sendOn that they
-	// may refuse for it.
-	told, sendOn bool
-	change       func(*Config)
+	// With reportsSlowdown the gates are given the slowdown of their hosts and report it.
+	// With mayRedirect they may also refuse a request because of it, so that it is sent to
+	// another server.
+	reportsSlowdown, mayRedirect bool
+	change                       func(*Config)
 }
 
-// uneven is one play.
+// uneven is one simulation with its counters.
 type uneven struct {
-	unevenWay
+	unevenVariant
 	load   float64
 	speeds []float64
-	// slow reports whether the host of a server is slow at a time of the play.
+	// slow reports whether the host of a server is slow at a time of the simulation.
 	slow func(server int, at time.Duration) bool
 
 	gates   [unevenServers]*gate.Gate
@@ -52,13 +53,13 @@
 	service *model.Service
 	began   time.Time
 
-	asked, inTime, late, refused, sentOn atomic.Int64
+	total, inTime, late, refused, redirected atomic.Int64
 }
 
 var unevenWork = model.Work{Kind: model.KindInteractive, Rank: 1, Target: unevenTarget}
 
-// play returns the share of requests that are answered in time.
-func (u *uneven) play(t *testing.T, seed uint64, entries int) float64 {
+// run runs the simulation and returns the fraction of requests that are answered in time.
+func (u *uneven) run(t *testing.T, seed uint64, entries int) float64 {
 	synctest.Test(t, func(t *testing.T) {
 		u.began, u.service, u.records = time.Now(), service(0.5), records(unevenServers)
 		capacity := 0.0
@@ -81,12 +82,12 @@
 		}
 		time.Sleep(10 * time.Second)
 	})
-	return float64(u.inTime.Load()) / float64(u.asked.Load())
+	return float64(u.inTime.Load()) / float64(u.total.Load())
 }
 
-// request asks up to four gates.
+// request sends one request, and retries it at up to maxTried gates in all.
 func (u *uneven) request(p *Picker, size float64) {
-	began, answered, sentOn := time.Now(), false, false
+	began, answered, redirected := time.Now(), false, false
 	var tried Tried
 	for range maxTried {
 		c, err := p.PickFor(time.Now(), u.service, u.records, &tried, Want{Work: unevenWork})
@@ -94,15 +95,15 @@
 			break
 		}
 		sent := time.Now()
-		r, reason := u.ask(int(c.Record.Node[0]-'a'), size, began, u.sendOn && !sentOn)
+		r, reason := u.send(int(c.Record.Node[0]-'a'), size, began, u.mayRedirect && !redirected)
 		r.Latency = time.Since(sent)
 		c.Done(time.Now(), r)
 		if answered = reason == ""; answered {
 			break
 		}
 		if reason == outcome.ReasonHostSlow {
-			u.sentOn.Add(1)
-			sentOn = true
+			u.redirected.Add(1)
+			redirected = true
 			continue
 		}
 		tried.Add(c.Record.Node)
@@ -110,7 +111,7 @@
 	if began.Sub(u.began) < unevenWarmup {
 		return
 	}
-	u.asked.Add(1)
+	u.total.Add(1)
 	switch {
 	case !answered:
 		u.refused.Add(1)
@@ -121,8 +122,9 @@
 	}
 }
 
-// ask sends a request to a gate.
-func (u *uneven) ask(server int, size float64, began time.Time, elsewhere bool) (Result, outcome.Reason) {
+// send sends a request to a gate and returns the result, with the reason if the gate refused
+// the request. elsewhere allows the gate to refuse it because the host is slow.
+func (u *uneven) send(server int, size float64, began time.Time, elsewhere bool) (Result, outcome.Reason) {
 	time.Sleep(unevenTrip)
 	defer time.Sleep(unevenTrip)
 	g, deadline := u.gates[server], began.Add(4*unevenTarget)
@@ -135,13 +137,14 @@
 	speed, slow, known := u.speeds[server%len(u.speeds)], u.slowness(server), g.Slowdown(time.Now())
 	took := time.Duration(size * slow / speed * float64(unevenMean))
 	time.Sleep(took)
-	if u.told {
+	if u.reportsSlowdown {
 		g.ReportSlowness(u.slowness(server)/speed, time.Now())
 	}
 	g.ReleaseSlowed(unevenWork, took, known, time.Now())
 	return Result{Outcome: OK, Load: u.report(g), Work: unevenWork, Typical: g.Typical(unevenWork)}, ""
 }
 
+// slowness returns the current slowdown of a server's host.
 func (u *uneven) slowness(server int) float64 {
 	if u.slow(server, time.Since(u.began)) {
 		return unevenSlow
@@ -149,26 +152,26 @@
 	return 1
 }
 
-// report returns what an entry node reads of a gate's load.
+// report returns a gate's load as an entry node parses it from the header.
 func (u *uneven) report(g *gate.Gate) *Load {
 	l := g.Load()
-	told := Load{Used: l.Used, Slots: l.Slots, Queued: l.Queued, Work: g.MeanServiceTime(), Slowdown: g.Slowdown(time.Now())}
-	read, err := ParseLoad(told.String())
+	load := Load{Used: l.Used, Slots: l.Slots, Queued: l.Queued, Work: g.MeanServiceTime(), Slowdown: g.Slowdown(time.Now())}
+	parsed, err := ParseLoad(load.String())
 	if err != nil {
 		panic(err)
 	}
-	return &read
+	return &parsed
 }
 
-// inTurn lets two hosts at a time be slow, for so long.
-func inTurn(d time.Duration) func(int, time.Duration) bool {
+// slowInTurn makes two hosts at a time slow, each pair for the duration d.
+func slowInTurn(d time.Duration) func(int, time.Duration) bool {
 	return func(server int, at time.Duration) bool {
 		return int(at/d)%(unevenServers/2) == server/2
 	}
 }
 
-// unevenWays are those that are compared.
-var unevenWays = []unevenWay{
+// unevenVariants are the compared variants. The first is the baseline, the last the default.
+var unevenVariants = []unevenVariant{
 	{"not told", false, false, func(*Config) {}},
 	{"weighted", true, false, func(c *Config) { c.Completion = false }},
 	{"completion", true, false, func(*Config) {}},
@@ -176,38 +179,39 @@
 	{"completion, sent on", true, true, func(*Config) {}},
 }
 
-// Callers are served in time more often where hosts tell that they are slow than where
-// they don't, whatever the moments' length and the speeds of the servers. With -compare it
-// plays all ways, for docs/design/uneven-hosts.md.
-func TestSlowMomentsOfHostsAreAvoided(t *testing.T) {
-	standing, now := unevenWays[0], unevenWays[len(unevenWays)-1]
+// More requests are answered in time if gates report that their hosts are temporarily slow,
+// however long that lasts and whatever the speeds of the servers. With -compare it runs all
+// variants, for docs/design/uneven-hosts.md.
+func TestTemporarilySlowHostsAreAvoided(t *testing.T) {
+	baseline, current := unevenVariants[0], unevenVariants[len(unevenVariants)-1]
 	for _, load := range []float64{0.4, 0.65, 0.85, 1.1} {
-		for _, turn := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond} {
+		for _, duration := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond} {
 			for _, speeds := range [][]float64{{1}, {1.4, 1.4, 0.6}} {
-				if !*compare && (load != 0.65 || turn != 300*time.Millisecond) {
+				if !*compare && (load != 0.65 || duration != 300*time.Millisecond) {
 					continue
 				}
 				got := make(map[string]float64)
-				for _, way := range unevenWays {
-					if !*compare && way.name != standing.name && way.name != now.name {
+				for _, variant := range unevenVariants {
+					if !*compare && variant.name != baseline.name && variant.name != current.name {
 						continue
 					}
 					for seed := range uint64(*seeds) {
-						u := &uneven{unevenWay: way, load: load, speeds: speeds, slow: inTurn(turn)}
-						got[way.name] += u.play(t, seed+1, 40) / float64(*seeds)
+						u := &uneven{unevenVariant: variant, load: load, speeds: speeds, slow: slowInTurn(duration)}
+						got[variant.name] += u.run(t, seed+1, 40) / float64(*seeds)
 					}
-					t.Logf("load %.2f, moments of %v, speeds %v, %-20s %.3f in time", load, turn, speeds, way.name, got[way.name])
+					t.Logf("load %.2f, hosts slow for %v, speeds %v, %-20s %.3f in time", load, duration, speeds, variant.name, got[variant.name])
 				}
 				if load == 0.65 {
-					must.Greater(t, got[standing.name]+0.015, got[now.name])
+					must.Greater(t, got[baseline.name]+0.015, got[current.name])
 				}
 			}
 		}
 	}
 }
 
-// Where no host tells, servers are picked as by load times slowness, one like the other.
-func TestServersAreRatedByLoadWhereNoHostTells(t *testing.T) {
+// Without reports of slowdowns, the default configuration makes the same choices as one that
+// compares servers by load times slowness.
+func TestServersAreComparedByLoadWithoutSlowdownReports(t *testing.T) {
 	byLoad := DefaultConfig()
 	byLoad.Completion, byLoad.SlowdownTTL = false, 0
 	a, b := New(DefaultConfig(), "z1", "r1", 7), New(byLoad, "z1", "r1", 7)
@@ -227,10 +231,11 @@
 	}
 }
 
-// A host that tells of a slow moment is avoided while that is true, and asked again after.
-func TestSlowMomentIsForgotten(t *testing.T) {
+// A host is avoided while a reported slowdown is recent, and gets requests again once the
+// report has expired or a new one reports the usual speed.
+func TestSlowdownReportExpires(t *testing.T) {
 	p, s, rs := newPicker(), service(0.5), records(2)
-	tell := func(now time.Time, slowdown float64) {
+	report := func(now time.Time, slowdown float64) {
 		for _, r := range rs {
 			c, ok := p.PickNode(now, s, rs, r.Node, nil)
 			must.True(t, ok)
@@ -241,9 +246,9 @@
 			c.Done(now, Result{Outcome: OK, Load: l, Latency: 100 * time.Millisecond, Typical: 100 * time.Millisecond})
 		}
 	}
-	tell(start, 2.5)
+	report(start, 2.5)
 	must.Eq(t, 0, counts(t, p, start, s, rs, 50)["a"])
 	must.Positive(t, counts(t, p, at(p.cfg.SlowdownTTL), s, rs, 50)["a"])
-	tell(at(time.Second), 0)
+	report(at(time.Second), 0)
 	must.Positive(t, counts(t, p, at(time.Second), s, rs, 50)["a"])
 }
--- a/coordination/balance/want_test.go
+++ b/coordination/balance/want_test.go
@@ -14,10 +14,10 @@
 	report = model.Work{Kind: model.KindInteractive, Rank: 2, Target: 1200 * time.Millisecond}
 )
 
-// learned returns a picker with a server near, "a", and one far, "b", both of
-// which answered lookups in 30 ms and reports in 480 ms: "a" saw mostly reports,
-// "b" mostly lookups.
-func learned(t *testing.T) func(Want) Choice {
+// trainedPicker returns the pick function of a picker with one server "a" in its own zone and
+// one server "b" in another. Both have answered lookups in 30 ms and reports in 480 ms, but
+// "a" got mostly reports and "b" mostly lookups.
+func trainedPicker(t *testing.T) func(Want) Choice {
 	p, s, rs := newPicker(), service(0.5), records(2)
 	rs[1].Zone = "z2"
 	for i := range 80 {
@@ -37,11 +37,12 @@
 	}
 }
 
-// Servers that are asked for different work are as fast as each other. Compared
-// by kind alone the near one seemed 3.9 times slower than the far one (8.4 on a
-// users' deployment, where 3,060 of 7,765 requests left their zone for that).
-func TestServersAreComparedBySortOfWork(t *testing.T) {
-	pick := learned(t)
+// Guards against a server counting as slow because it gets a mix of requests that take longer.
+// With latencies compared per kind only, the near server counted as 3.9 times slower than the
+// far one, which is just as fast; in a deployment it was 8.4 times, and 3,060 of 7,765 requests
+// left their zone because of it.
+func TestServersAreComparedPerWorkload(t *testing.T) {
+	pick := trainedPicker(t)
 	for range 20 {
 		c := pick(Want{Work: lookup, Patience: 20 * time.Millisecond})
 		must.Eq(t, "a", string(c.Record.Node))
@@ -50,13 +51,13 @@
 	}
 }
 
-// A request stays near while what it waits there is within what it bears, and
-// goes further away once it is not and that is sooner by the margin.
+// A request stays in its zone while the wait there is within Want.Patience. Beyond that it
+// leaves the zone if it gains more than the margin and Want.Patience.
 func TestRequestLeavesItsZoneOnlyWhereItWouldBeLate(t *testing.T) {
-	// The near server has 10 slots, 3 in use by others, and 10 ms until one becomes free:
-	// its 8th request waits that long, and each further one 10 ms more.
+	// The near server has 10 slots, of which other nodes use 3, and one becomes free every
+	// 10 ms: the 8th request waits that long, and each further one 10 ms more.
 	for patience, near := range map[time.Duration]int{0: 8, 20 * time.Millisecond: 10, 50 * time.Millisecond: 13} {
-		pick := learned(t)
+		pick := trainedPicker(t)
 		got := 0
 		for pick(Want{Work: lookup, Patience: patience}).Record.Node == "a" {
 			got++
@@ -65,9 +66,9 @@
 	}
 }
 
-// A request that is to stay near finds nobody where the near servers were tried,
-// although others are further away.
-func TestNearRequestLeavesItsZoneForNothing(t *testing.T) {
+// A request with Want.Near gets no server once all servers of its zone were tried, although
+// there is one in another zone.
+func TestNearRequestNeverLeavesItsZone(t *testing.T) {
 	p, s, rs := newPicker(), service(0.5), records(3)
 	rs[2].Zone = "z2"
 	var tried Tried
--- a/coordination/balance/zone.go
+++ b/coordination/balance/zone.go
@@ -7,73 +7,78 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// zones is what a node has seen of the ways into the availability zones.
-type zones struct{ byName sync.Map } // model.Zone -> *zoneWay
+// zones holds the state of each availability zone, as seen by the picker's node.
+type zones struct{ byName sync.Map } // model.Zone -> *zoneState
 
-// zoneWay is the way into one zone. All fields are atomic.
-type zoneWay struct {
-	misses atomic.Int32                 // sends in a row that reached nobody
-	first  atomic.Pointer[model.NodeID] // host of the first of them
-	// several says that the misses were of more than one host: one may be gone.
-	several atomic.Bool
-	// closedUntil is when the next trial may be sent, in Unix nanoseconds; 0
-	// while the way is open.
-	closedUntil atomic.Int64
+// zoneState tracks whether one availability zone is reachable. All fields are atomic.
+type zoneState struct {
+	unreachable atomic.Int32                 // consecutive requests that didn't reach their host
+	firstHost   atomic.Pointer[model.NodeID] // host of the first of them
+	// multipleHosts is set once these requests were for more than one host: if all were for
+	// the same one, that host may be down rather than the zone unreachable.
+	multipleHosts atomic.Bool
+	// nextTrial is the time of the next trial request, in Unix nanoseconds; 0 while the
+	// zone is reachable.
+	nextTrial atomic.Int64
 }
 
-func (z *zones) of(name model.Zone) *zoneWay {
-	if w, ok := z.byName.Load(name); ok {
-		return w.(*zoneWay)
+// get returns the state of a zone, which is reachable at first.
+func (z *zones) get(name model.Zone) *zoneState {
+	if s, ok := z.byName.Load(name); ok {
+		return s.(*zoneState)
 	}
-	w, _ := z.byName.LoadOrStore(name, new(zoneWay))
-	return w.(*zoneWay)
+	s, _ := z.byName.LoadOrStore(name, new(zoneState))
+	return s.(*zoneState)
 }
 
-// reached notes that a host of the zone has answered something.
-func (w *zoneWay) reached() {
-	if w.misses.Load() == 0 && w.closedUntil.Load() == 0 {
+// recordReached records that a host of the zone has answered, and marks the zone as
+// reachable.
+func (s *zoneState) recordReached() {
+	if s.unreachable.Load() == 0 && s.nextTrial.Load() == 0 {
 		return
 	}
-	w.misses.Store(0)
-	w.several.Store(false)
-	w.closedUntil.Store(0)
+	s.unreachable.Store(0)
+	s.multipleHosts.Store(false)
+	s.nextTrial.Store(0)
 }
 
-// missed notes that a host of the zone was not reached, and closes the way after
-// enough of that.
-func (w *zoneWay) missed(c *Config, id model.NodeID, at int64) {
-	n := w.misses.Add(1)
-	first := w.first.Load()
+// recordUnreachable records that a request didn't reach its host in the zone. It marks the
+// zone as unreachable after Config.ZoneMisses of them in a row, to more than one host.
+func (s *zoneState) recordUnreachable(c *Config, id model.NodeID, at int64) {
+	n := s.unreachable.Add(1)
+	first := s.firstHost.Load()
 	if n == 1 || first == nil {
-		w.first.Store(&id)
+		s.firstHost.Store(&id)
 		return
 	}
 	if *first != id {
-		w.several.Store(true)
+		s.multipleHosts.Store(true)
 	}
-	if n >= c.ZoneMisses && w.several.Load() {
-		w.closedUntil.Store(at + int64(c.ZoneRetry))
+	if n >= c.ZoneMisses && s.multipleHosts.Load() {
+		s.nextTrial.Store(at + int64(c.ZoneRetry))
 	}
 }
 
-// open reports whether a request may be sent into the zone now.
-func (w *zoneWay) open(at int64) bool { return at >= w.closedUntil.Load() }
+// available reports whether a request may be sent into the zone now: the zone is reachable,
+// or a trial is due. Unlike admit it doesn't start the trial.
+func (s *zoneState) available(at int64) bool { return at >= s.nextTrial.Load() }
 
-// passes reports whether a request is sent into the zone: while the way is closed,
-// one each ZoneRetry tries it.
-func (w *zoneWay) passes(c *Config, at int64) bool {
-	until := w.closedUntil.Load()
-	if until == 0 {
+// admit reports whether to send a request into the zone. Of the requests for an unreachable
+// zone it admits one per Config.ZoneRetry, as a trial.
+func (s *zoneState) admit(c *Config, at int64) bool {
+	due := s.nextTrial.Load()
+	if due == 0 {
 		return true
 	}
-	return at >= until && w.closedUntil.CompareAndSwap(until, at+int64(c.ZoneRetry))
+	return at >= due && s.nextTrial.CompareAndSwap(due, at+int64(c.ZoneRetry))
 }
 
-// Unreachable returns the number of zones into which nothing is sent but trials.
+// Unreachable returns the number of unreachable zones, which get no requests except
+// trials.
 func (p *Picker) Unreachable() int {
 	n := 0
-	for _, w := range p.zones.byName.Range {
-		if w.(*zoneWay).closedUntil.Load() != 0 {
+	for _, s := range p.zones.byName.Range {
+		if s.(*zoneState).nextTrial.Load() != 0 {
 			n++
 		}
 	}
--- a/coordination/balance/zone_test.go
+++ b/coordination/balance/zone_test.go
@@ -10,8 +10,9 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// twoZones returns a picker of z1 that has servers in z2 only: "b", "c" and "d".
-func twoZones() (*Picker, func(d time.Duration) (Choice, error)) {
+// remoteZone returns a picker in z1 with servers in z2 only, "b", "c" and "d", and a function
+// that picks one of them at the time d.
+func remoteZone() (*Picker, func(d time.Duration) (Choice, error)) {
 	p, s, rs := newPicker(), service(0.5), records(4)
 	rs = rs[1:]
 	for i := range rs {
@@ -20,11 +21,12 @@
 	return p, func(d time.Duration) (Choice, error) { return p.Pick(at(d), s, rs, nil) }
 }
 
-// While a zone is cut off a request that could only be served there is refused at
-// once, but for one trial each 300 ms; before, each waited 150 ms for a connection
-// or for its deadline, 336 of a users' recorded day until their callers left.
-func TestZoneThatIsCutOffIsNotAsked(t *testing.T) {
-	p, pick := twoZones()
+// While a zone is unreachable, a request that could only be served there is refused at once,
+// except for one trial every 300 ms. Otherwise each would wait 150 ms for a connection, or
+// until its deadline; in one recorded day of a deployment, 336 of them waited until their
+// callers gave up.
+func TestUnreachableZoneGetsOnlyTrials(t *testing.T) {
+	p, pick := remoteZone()
 	for range 20 {
 		c, err := pick(0)
 		if err != nil {
@@ -33,7 +35,7 @@
 		c.Done(at(0), Result{Outcome: Unreachable})
 	}
 	must.Eq(t, 1, p.Unreachable())
-	asked := 0
+	sent := 0
 	for d := range 3 * time.Second / (10 * time.Millisecond) {
 		now := d * 10 * time.Millisecond
 		c, err := pick(now)
@@ -41,11 +43,11 @@
 		if errors.As(err, &none) {
 			continue
 		}
-		asked++
+		sent++
 		c.Done(at(now), Result{Outcome: Unreachable})
 	}
-	must.Between(t, 8, asked, 10)
-	// Whoever answers from there opens the way again.
+	must.Between(t, 8, sent, 10)
+	// Any answer from a host of the zone makes it reachable again.
 	c, err := pick(4 * time.Second)
 	must.NoError(t, err)
 	c.Done(at(4*time.Second), Result{Outcome: NotRun, Load: &Load{Used: 1, Slots: 10}})
@@ -57,19 +59,19 @@
 	}
 }
 
-// A host that is gone doesn't make its zone cut off, nor do failures between
-// which others answer.
-func TestOneHostIsNoZone(t *testing.T) {
+// A zone doesn't become unreachable through a single host that is down, nor through failures
+// of several hosts between which others answer.
+func TestSingleHostFailureLeavesItsZoneReachable(t *testing.T) {
 	p := newPicker()
-	w := p.zones.of("z2")
+	zone := p.zones.get("z2")
 	for range 100 {
-		w.missed(&p.cfg, "b", 0)
+		zone.recordUnreachable(&p.cfg, "b", 0)
 	}
 	must.Eq(t, 0, p.Unreachable())
 	for i := range 100 {
-		w.missed(&p.cfg, model.NodeID(rune('b'+i%3)), 0)
+		zone.recordUnreachable(&p.cfg, model.NodeID(rune('b'+i%3)), 0)
 		if i%3 == 2 {
-			w.reached()
+			zone.recordReached()
 		}
 	}
 	must.Eq(t, 0, p.Unreachable())
