--- a/coordination/balance/config.go
+++ b/coordination/balance/config.go
@@ -12,10 +12,10 @@
 	// linearly to 0 over this time: the slowdown of hosts that share their processors
 	// changes within some 100 ms.
 	SlowdownTTL time.Duration
-	// Completion makes the picker compare servers by the expected completion time of the
-	// request instead of by load times slowness. It takes effect for a service once one of
-	// its servers has reported the slowdown of its host.
-	Completion bool
+	// ByCompletionTime makes the picker compare servers by the expected completion time of
+	// the request instead of by load times slowness. It takes effect for a service once
+	// one of its servers has reported the slowdown of its host.
+	ByCompletionTime bool
 	// LatencyTTL is how long the measured latency of a server is used. Its weight falls
 	// linearly to 0 over this time, so that a server that has recovered gets requests
 	// again.
@@ -28,7 +28,7 @@
 	LatencyCap float64
 	// SpillMargin is how much shorter the wait at a server in a farther tier must be for
 	// it to be preferred to a nearer one, in addition to the request's own tolerance
-	// (Want.Patience).
+	// (PickOptions.MaxNearWait).
 	SpillMargin time.Duration
 	// RegionMargin replaces SpillMargin for a server in another region, where the round
 	// trip takes tens of milliseconds over links that all hosts share.
@@ -36,8 +36,9 @@
 	// ColdFloor is the smallest fraction of its full share that a cold server gets. It
 	// must be above 0.
 	ColdFloor float64
-	// Failures is the number of consecutive failures after which a server is ejected.
-	Failures int32
+	// ConsecutiveFailures is the number of failures in a row after which a server is
+	// ejected.
+	ConsecutiveFailures int32
 	// FailureRate is the moving failure rate, 0 to 1, from which a server with at least
 	// MinSamples results is ejected.
 	FailureRate float64
@@ -54,10 +55,10 @@
 	// TrialTimeout is how long the picker waits for the result of the single trial
 	// request after an ejection before it allows another one.
 	TrialTimeout time.Duration
-	// ZoneMisses is the number of consecutive requests, to at least two hosts of a zone,
-	// that must fail to reach their host before the zone counts as unreachable. Four in a
+	// ZoneFailures is the number of consecutive requests, to at least two hosts of a zone,
+	// that must fail to reach their host for the zone to count as unreachable. Four in a
 	// row are hardly chance: the worst links lose one packet in forty.
-	ZoneMisses int32
+	ZoneFailures int32
 	// ZoneRetry is the time between two trial requests to an unreachable zone.
 	ZoneRetry time.Duration
 	// FastMinTier is the number of servers in a tier from which the second draw prefers
@@ -72,25 +73,25 @@
 // DefaultConfig returns the default policy, which docs/design/balancing.md evaluates.
 func DefaultConfig() Config {
 	return Config{
-		LoadTTL:      time.Second,
-		SlowdownTTL:  300 * time.Millisecond,
-		Completion:   true,
-		LatencyTTL:   10 * time.Second,
-		LatencyGain:  0.1,
-		LatencyCap:   4,
-		SpillMargin:  10 * time.Millisecond,
-		RegionMargin: 70 * time.Millisecond,
-		ColdFloor:    0.1,
-		Failures:     3,
-		FailureRate:  0.5,
-		FailureGain:  0.1,
-		MinSamples:   10,
-		EjectBase:    2 * time.Second,
-		EjectMax:     time.Minute,
-		TrialTimeout: 5 * time.Second,
-		ZoneMisses:   4,
-		ZoneRetry:    300 * time.Millisecond,
-		FastMinTier:  fastMinTier,
-		DefaultSlots: 10,
+		LoadTTL:             time.Second,
+		SlowdownTTL:         300 * time.Millisecond,
+		ByCompletionTime:    true,
+		LatencyTTL:          10 * time.Second,
+		LatencyGain:         0.1,
+		LatencyCap:          4,
+		SpillMargin:         10 * time.Millisecond,
+		RegionMargin:        70 * time.Millisecond,
+		ColdFloor:           0.1,
+		ConsecutiveFailures: 3,
+		FailureRate:         0.5,
+		FailureGain:         0.1,
+		MinSamples:          10,
+		EjectBase:           2 * time.Second,
+		EjectMax:            time.Minute,
+		TrialTimeout:        5 * time.Second,
+		ZoneFailures:        4,
+		ZoneRetry:           300 * time.Millisecond,
+		FastMinTier:         fastMinTier,
+		DefaultSlots:        10,
 	}
 }
--- a/coordination/balance/done.go
+++ b/coordination/balance/done.go
@@ -42,11 +42,11 @@
 	// Work is the request's workload. The latencies of servers are compared only within
 	// the same workload.
 	Work model.Work
-	// Typical is the mean time that requests of this workload take at the server, as
+	// MeanLatency is the mean time that requests of this workload take at the server, as
 	// reported by its gate; 0 without a report. Where it is given it replaces Latency, the
 	// value of a single request: with many servers, a node sends too few requests to each
 	// of them for an average of its own.
-	Typical time.Duration
+	MeanLatency time.Duration
 }
 
 // Done ends the request and updates the statistics of its server and zone. It must be
@@ -126,8 +126,8 @@
 	s, g := c.server, c.group.stats.latency.Of(r.Work)
 	n := s.latencyCount.Load()
 	took, gain := r.Latency, max(c.picker.cfg.LatencyGain, 1/float64(n+1+priorLatencies))
-	if r.Typical > 0 {
-		took, gain = r.Typical, reportedGain
+	if r.MeanLatency > 0 {
+		took, gain = r.MeanLatency, reportedGain
 	}
 	v := math.Log2(float64(max(took, 1)))
 	if g.seen.CompareAndSwap(false, true) {
@@ -166,7 +166,7 @@
 	switch {
 	case c.trial:
 		c.picker.extendEjection(s, at)
-	case consecutive >= cfg.Failures || rateExceeded:
+	case consecutive >= cfg.ConsecutiveFailures || rateExceeded:
 		c.picker.eject(c.group, s, at)
 	}
 }
--- a/coordination/balance/load.go
+++ b/coordination/balance/load.go
@@ -14,14 +14,14 @@
 	Slots int
 	// Queued is the number of requests that wait for a slot.
 	Queued int
-	// Work is the mean time that a request holds a slot; 0 if not known.
-	Work time.Duration
+	// SlotTime is the mean time that a request holds a slot; 0 if not known.
+	SlotTime time.Duration
 	// Slowdown is the factor by which work currently takes longer than usual on the
 	// server's host; 0 if it takes as long as usual or the factor is not known.
 	Slowdown float64
 }
 
-// maxLoadField bounds the numbers of a report except Work; a report with a larger one is
+// maxLoadField bounds the numbers of a report except SlotTime; a report with a larger one is
 // refused.
 const maxLoadField = 1 << 20
 
@@ -30,24 +30,24 @@
 const normalPercent = 100
 
 // ParseLoad parses the value of the load header: "used/slots/queued",
-// "used/slots/queued/work" or "used/slots/queued/work/slowdown". The work is in
-// microseconds, and above 0 unless a slowdown follows; the slowdown is in percent and above
-// 0. ParseLoad returns a *LoadError for anything else.
+// "used/slots/queued/work" or "used/slots/queued/work/slowdown". The work is the SlotTime in
+// microseconds, and above 0 unless a slowdown follows. The slowdown is in percent and above 0.
+// ParseLoad returns a *LoadError for anything else.
 func ParseLoad(s string) (Load, error) {
 	used, rest, _ := strings.Cut(s, "/")
 	slots, rest, _ := strings.Cut(rest, "/")
-	queued, rest, hasWork := strings.Cut(rest, "/")
-	work, slowdown, hasSlowdown := strings.Cut(rest, "/")
+	queued, rest, hasSlotTime := strings.Cut(rest, "/")
+	slotTime, slowdown, hasSlowdown := strings.Cut(rest, "/")
 	l := Load{Used: parseField(used), Slots: parseField(slots), Queued: parseField(queued)}
 	if l.Used < 0 || l.Slots < 1 || l.Queued < 0 {
 		return Load{}, &LoadError{Found: s}
 	}
-	if hasWork {
-		micros, err := strconv.ParseUint(work, 10, 32)
+	if hasSlotTime {
+		micros, err := strconv.ParseUint(slotTime, 10, 32)
 		if err != nil || micros == 0 && !hasSlowdown {
 			return Load{}, &LoadError{Found: s}
 		}
-		l.Work = time.Duration(micros) * time.Microsecond
+		l.SlotTime = time.Duration(micros) * time.Microsecond
 	}
 	if hasSlowdown {
 		percent := parseField(slowdown)
@@ -79,9 +79,9 @@
 	text = strconv.AppendInt(text, int64(l.Queued), 10)
 	percent := int64(l.Slowdown*normalPercent + 0.5)
 	hasSlowdown := percent > 0 && percent != normalPercent
-	if l.Work > 0 || hasSlowdown {
+	if l.SlotTime > 0 || hasSlowdown {
 		text = append(text, '/')
-		text = strconv.AppendInt(text, l.Work.Microseconds(), 10)
+		text = strconv.AppendInt(text, l.SlotTime.Microseconds(), 10)
 	}
 	if hasSlowdown {
 		text = append(text, '/')
--- a/coordination/balance/many_test.go
+++ b/coordination/balance/many_test.go
@@ -41,7 +41,7 @@
 }
 
 func (s *manyServer) load() *Load {
-	return &Load{Used: s.busy, Slots: manySlots, Queued: len(s.queue), Work: s.typical}
+	return &Load{Used: s.busy, Slots: manySlots, Queued: len(s.queue), SlotTime: s.typical}
 }
 
 // manyModel is the state of the simulation.
@@ -82,14 +82,14 @@
 	began := w.now
 	size := math.Exp(w.rand.NormFloat64()*manySigma - manySigma*manySigma/2)
 	kind := model.WorkOf(model.KindInteractive)
-	c, err := p.PickFor(at(w.now), service, w.records, nil, Want{Work: kind, Patience: manyTarget / 2})
+	c, err := p.PickFor(at(w.now), service, w.records, nil, PickOptions{Work: kind, MaxNearWait: manyTarget / 2})
 	must.NoError(t, err)
 	i, err := strconv.Atoi(string(c.Record.Node))
 	must.NoError(t, err)
 	s := w.servers[i]
 	reply := func() {
 		took := w.now - began
-		c.Done(at(w.now), Result{Outcome: OK, Latency: took, Load: s.load(), Work: kind, Typical: s.typical})
+		c.Done(at(w.now), Result{Outcome: OK, Latency: took, Load: s.load(), Work: kind, MeanLatency: s.typical})
 		if began < manyWarmup {
 			return
 		}
--- a/coordination/balance/picker.go
+++ b/coordination/balance/picker.go
@@ -57,45 +57,45 @@
 	trial  bool
 }
 
-// Want holds the requirements of a request on the server that is picked for it.
-type Want struct {
+// PickOptions are the requirements of a request on the server that is picked for it.
+type PickOptions struct {
 	// Work is the request's workload.
 	Work model.Work
-	// Patience is how long the request may wait for a slot at a near server before a
+	// MaxNearWait is how long the request may wait for a slot at a near server before a
 	// server in a farther tier is considered. At 0 any wait is too long.
-	Patience time.Duration
-	// Near restricts the choice to the nearest tier that has servers, even if all of
+	MaxNearWait time.Duration
+	// NearestOnly restricts the choice to the nearest tier that has servers, even if all of
 	// them were tried or are ejected.
-	Near bool
+	NearestOnly bool
 }
 
 // Pick picks a server for a request without known requirements: it considers a farther tier
 // as soon as the request would wait for a slot. See PickFor.
-func (p *Picker) Pick(now time.Time, s *model.Service, candidates []endpoint.Record, tried *Tried) (Choice, error) {
-	return p.PickFor(now, s, candidates, tried, Want{Work: model.WorkOf(model.KindInteractive)})
+func (p *Picker) Pick(now time.Time, s *model.Service, candidates []endpoint.Record, excluded *Exclusions) (Choice, error) {
+	return p.PickFor(now, s, candidates, excluded, PickOptions{Work: model.WorkOf(model.KindInteractive)})
 }
 
 // PickFor picks one of the candidates. They should be the slice of the current view itself:
-// a copy of it counts as a new view, for which the group is built again. tried may be nil.
+// a copy of it counts as a new view, for which the group is built again. excluded may be nil.
 // The error is a *NoEndpointError; the request was not run.
-func (p *Picker) PickFor(now time.Time, s *model.Service, candidates []endpoint.Record, tried *Tried, want Want) (Choice, error) {
+func (p *Picker) PickFor(now time.Time, s *model.Service, candidates []endpoint.Record, excluded *Exclusions, opts PickOptions) (Choice, error) {
 	at := now.UnixNano()
 	g := p.group(s, candidates, at)
-	m, trial := p.choose(g, tried, want, at)
-	if m == nil && !want.Near {
-		m = p.lastResort(g, tried, at)
+	m, trial := p.choose(g, excluded, opts, at)
+	if m == nil && !opts.NearestOnly {
+		m = p.lastResort(g, excluded, at)
 	}
 	if m == nil {
-		return Choice{}, &NoEndpointError{Service: s.Name, Candidates: len(candidates), Tried: tried.Len()}
+		return Choice{}, &NoEndpointError{Service: s.Name, Candidates: len(candidates), Tried: excluded.Len()}
 	}
 	m.server.inFlight.Add(1)
 	return Choice{Record: m.record, picker: p, group: g, member: m, server: m.server, trial: trial}, nil
 }
 
 // PickNode picks the server of the given node. It returns false if the server is not among
-// the candidates, is excluded by tried, is ejected, or is in an unreachable zone, unless a
-// trial is due. candidates and tried are as for PickFor.
-func (p *Picker) PickNode(now time.Time, s *model.Service, candidates []endpoint.Record, id model.NodeID, tried *Tried) (Choice, bool) {
+// the candidates, is one of excluded, is ejected, or is in an unreachable zone, unless a trial
+// is due. candidates and excluded are as for PickFor.
+func (p *Picker) PickNode(now time.Time, s *model.Service, candidates []endpoint.Record, id model.NodeID, excluded *Exclusions) (Choice, bool) {
 	at := now.UnixNano()
 	g := p.group(s, candidates, at)
 	for t := range g.tiers {
@@ -104,7 +104,7 @@
 			if m.record.Node != id {
 				continue
 			}
-			ok, trial := p.usable(m, nil, tried, at)
+			ok, trial := p.usable(m, nil, excluded, at)
 			if !ok {
 				return Choice{}, false
 			}
@@ -116,14 +116,14 @@
 }
 
 // choose searches the tiers from the nearest outwards and stops at the first member at which
-// the request waits no longer than want.Patience. A member of a farther tier is preferred
-// only if the wait there is shorter by more than the tier's margin plus want.Patience:
+// the request waits no longer than opts.MaxNearWait. A member of a farther tier is preferred
+// only if the wait there is shorter by more than the tier's margin plus opts.MaxNearWait:
 // crossing zones has a cost, which must be outweighed by a gain for the caller.
-func (p *Picker) choose(g *group, tried *Tried, want Want, at int64) (best *member, trial bool) {
+func (p *Picker) choose(g *group, excluded *Exclusions, opts PickOptions, at int64) (best *member, trial bool) {
 	var bestWait time.Duration
 	for t := range g.tiers {
-		m, wait, trial := p.chooseInTier(g, g.tiers[t], tried, want, at)
-		if m == nil && want.Near && len(g.tiers[t]) > 0 {
+		m, wait, trial := p.chooseInTier(g, g.tiers[t], excluded, opts, at)
+		if m == nil && opts.NearestOnly && len(g.tiers[t]) > 0 {
 			break
 		}
 		if m == nil {
@@ -132,10 +132,10 @@
 		if trial {
 			return m, true
 		}
-		if best == nil || wait+p.margin(tier(t))+want.Patience < bestWait {
+		if best == nil || wait+p.margin(tier(t))+opts.MaxNearWait < bestWait {
 			best, bestWait = m, wait
 		}
-		if wait <= want.Patience || want.Near {
+		if wait <= opts.MaxNearWait || opts.NearestOnly {
 			break
 		}
 	}
@@ -153,8 +153,8 @@
 
 // chooseInTier returns the better of two randomly drawn members and the expected wait for a
 // slot there, or an ejected member whose trial is due.
-func (p *Picker) chooseInTier(g *group, members []member, tried *Tried, want Want, at int64) (*member, time.Duration, bool) {
-	a, trial := p.draw(members, nil, tried, at)
+func (p *Picker) chooseInTier(g *group, members []member, excluded *Exclusions, opts PickOptions, at int64) (*member, time.Duration, bool) {
+	a, trial := p.draw(members, nil, excluded, at)
 	if a == nil {
 		return nil, 0, false
 	}
@@ -162,30 +162,30 @@
 	if trial {
 		return a, 0, true
 	}
-	b := p.drawFast(g, a, members, tried, at)
+	b := p.drawFast(g, a, members, excluded, at)
 	if b == nil {
-		b, trial = p.draw(members, a, tried, at)
+		b, trial = p.draw(members, a, excluded, at)
 	}
 	if trial {
 		return b, 0, true
 	}
 	if b != nil {
 		loadB := b.server.loadPerSlot(&p.cfg, g, b, at)
-		if p.score(g, b, loadB, want, at) < p.score(g, a, loadA, want, at) {
+		if p.score(g, b, loadB, opts, at) < p.score(g, a, loadA, opts, at) {
 			a, loadA = b, loadB
 		}
 	}
-	return a, p.slotWait(g, a, loadA, want, at), false
+	return a, p.slotWait(g, a, loadA, opts, at), false
 }
 
 // score returns the cost of sending a request to the member; lower is better. It is the
 // load including the request itself, times the member's slowness and its host's slowdown, or
-// the completion time if Config.Completion applies.
-func (p *Picker) score(g *group, m *member, load float64, want Want, at int64) float64 {
+// the completion time if Config.ByCompletionTime applies.
+func (p *Picker) score(g *group, m *member, load float64, opts PickOptions, at int64) float64 {
 	s := m.server
 	slow := s.slowness(&p.cfg, at) * s.slowdown(&p.cfg, at)
-	if p.cfg.Completion && g.stats.slowdownReported.Load() {
-		return p.completionTime(g, m, load, want, slow, at)
+	if p.cfg.ByCompletionTime && g.stats.slowdownReported.Load() {
+		return p.completionTime(g, m, load, opts, slow, at)
 	}
 	return (load + 1/float64(m.slots)) * slow
 }
@@ -195,10 +195,10 @@
 // request arrives, so a wait is possible even before all slots are in use. It is estimated as
 // the request's own latency times the probability that queueExponent slots are all in use,
 // each with a probability equal to the load including this request.
-func (p *Picker) completionTime(g *group, m *member, load float64, want Want, slow float64, at int64) float64 {
+func (p *Picker) completionTime(g *group, m *member, load float64, opts PickOptions, slow float64, at int64) float64 {
 	slots := m.server.slotsOr(m.slots)
-	latency := float64(g.meanLatency(want.Work)) * slow
-	slotTime := float64(m.server.slotTimeOr(g.meanLatency(want.Work))) * m.server.slowdown(&p.cfg, at)
+	latency := float64(g.meanLatency(opts.Work)) * slow
+	slotTime := float64(m.server.slotTimeOr(g.meanLatency(opts.Work))) * m.server.slowdown(&p.cfg, at)
 	waiting := max(0, load*slots+1-slots)
 	allInUse := math.Pow(min(load+1/slots, 1), queueExponent)
 	return latency*(1+allInUse) + waiting/slots*slotTime
@@ -212,18 +212,18 @@
 // ignores the server's slowness: the latencies of healthy servers differ by a factor of two
 // and more, and a server that is really slow has a queue. It includes the slowdown of the
 // host, which lengthens the queued work.
-func (p *Picker) slotWait(g *group, m *member, load float64, want Want, at int64) time.Duration {
+func (p *Picker) slotWait(g *group, m *member, load float64, opts PickOptions, at int64) time.Duration {
 	s := m.server
 	slots := s.slotsOr(m.slots)
 	waiting := max(0, load*slots+1-slots)
-	slotTime := float64(s.slotTimeOr(g.meanLatency(want.Work))) * s.slowdown(&p.cfg, at)
+	slotTime := float64(s.slotTimeOr(g.meanLatency(opts.Work))) * s.slowdown(&p.cfg, at)
 	return time.Duration(waiting / slots * slotTime)
 }
 
 // drawFast returns a usable, recently fast member other than a. It returns nil if the one
 // drawn isn't usable, in a tier below Config.FastMinTier, and for all but fastSetDraws of
 // totalDraws draws.
-func (p *Picker) drawFast(g *group, a *member, members []member, tried *Tried, at int64) *member {
+func (p *Picker) drawFast(g *group, a *member, members []member, excluded *Exclusions, at int64) *member {
 	if len(members) < p.cfg.FastMinTier || p.rand.IntN(totalDraws) >= fastSetDraws {
 		return nil
 	}
@@ -231,7 +231,7 @@
 	if m == nil || m.server.ejected() {
 		return nil // trials are started by random draws only
 	}
-	if ok, _ := p.usable(m, a, tried, at); !ok {
+	if ok, _ := p.usable(m, a, excluded, at); !ok {
 		return nil
 	}
 	return m
@@ -239,7 +239,7 @@
 
 // draw returns a random usable member other than except, and whether it is picked for its
 // trial; nil if no member is usable.
-func (p *Picker) draw(members []member, except *member, tried *Tried, at int64) (*member, bool) {
+func (p *Picker) draw(members []member, except *member, excluded *Exclusions, at int64) (*member, bool) {
 	n := len(members)
 	if n == 0 {
 		return nil, false
@@ -247,13 +247,13 @@
 	start := 0
 	for range maxRandomDraws {
 		start = p.rand.IntN(n)
-		if ok, trial := p.usable(&members[start], except, tried, at); ok {
+		if ok, trial := p.usable(&members[start], except, excluded, at); ok {
 			return &members[start], trial
 		}
 	}
 	for i := range n {
 		m := &members[(start+i)%n]
-		if ok, trial := p.usable(m, except, tried, at); ok {
+		if ok, trial := p.usable(m, except, excluded, at); ok {
 			return m, trial
 		}
 	}
@@ -262,8 +262,8 @@
 
 // usable reports whether a request may be sent to the member, which must not be except, and
 // whether it is the member's trial. It starts the trials that it allows.
-func (p *Picker) usable(m, except *member, tried *Tried, at int64) (ok, trial bool) {
-	if m == except || tried.excludes(m.record) {
+func (p *Picker) usable(m, except *member, excluded *Exclusions, at int64) (ok, trial bool) {
+	if m == except || excluded.excludes(m.record) {
 		return false, false
 	}
 	if !m.server.ejected() {
@@ -276,7 +276,7 @@
 // lastResort returns a member that isn't excluded, even if it is ejected: a server that may
 // be faulty is better than none. It skips members in unreachable zones without a due trial,
 // where the caller would only wait in vain.
-func (p *Picker) lastResort(g *group, tried *Tried, at int64) *member {
+func (p *Picker) lastResort(g *group, excluded *Exclusions, at int64) *member {
 	for t := range g.tiers {
 		members := g.tiers[t]
 		if len(members) == 0 {
@@ -285,7 +285,7 @@
 		start := p.rand.IntN(len(members))
 		for i := range members {
 			m := &members[(start+i)%len(members)]
-			if !tried.excludes(m.record) && m.zone.admit(&p.cfg, at) {
+			if !excluded.excludes(m.record) && m.zone.admit(&p.cfg, at) {
 				return m
 			}
 		}
--- a/coordination/balance/picker_test.go
+++ b/coordination/balance/picker_test.go
@@ -79,7 +79,7 @@
 	var want *NoEndpointError
 	_, err := p.Pick(start, s, nil, nil)
 	must.True(t, errors.As(err, &want))
-	var tried Tried
+	var tried Exclusions
 	tried.Add("a")
 	c, err := p.Pick(start, s, rs, &tried)
 	must.NoError(t, err)
@@ -88,7 +88,7 @@
 	_, err = p.Pick(start, s, rs, &tried)
 	must.True(t, errors.As(err, &want))
 	must.Eq(t, &NoEndpointError{Service: "foglalas", Candidates: 2, Tried: 2}, want)
-	var zone Tried
+	var zone Exclusions
 	zone.AvoidZone("z1")
 	_, err = p.Pick(start, s, rs, &zone)
 	must.True(t, errors.As(err, &want))
@@ -182,7 +182,7 @@
 	must.GreaterEq(t, 18, inFlight["z1r1"])
 	must.GreaterEq(t, 8, inFlight["z2r1"])
 	must.Zero(t, inFlight["z2r2"])
-	var tried Tried
+	var tried Exclusions
 	tried.AvoidZone("z1")
 	c, err := p.Pick(start, s, rs, &tried)
 	must.NoError(t, err)
@@ -272,7 +272,7 @@
 				}
 				r := Result{Outcome: OK, Work: model.WorkOf(model.KindInteractive), Latency: time.Duration(float64(mean) * math.Exp(rng.NormFloat64()))}
 				if typical {
-					r.Typical = mean
+					r.MeanLatency = mean
 				}
 				c.Done(start, r)
 			}
--- a/coordination/balance/policy_test.go
+++ b/coordination/balance/policy_test.go
@@ -317,7 +317,7 @@
 		{"least reported", leastReported},
 		{"picker", picker(func(*Config) {})},
 		{"no latency", picker(func(c *Config) { c.LatencyCap = 0 })},
-		{"no ejection", picker(func(c *Config) { c.Failures, c.FailureRate = math.MaxInt32, 2 })},
+		{"no ejection", picker(func(c *Config) { c.ConsecutiveFailures, c.FailureRate = math.MaxInt32, 2 })},
 		{"no reports", picker(func(c *Config) { c.LoadTTL = 0 })},
 		{"reports 3 s", picker(func(c *Config) { c.LoadTTL = 3 * time.Second })},
 		{"no slow start", picker(func(c *Config) { c.ColdFloor = 1 })},
--- a/coordination/balance/server.go
+++ b/coordination/balance/server.go
@@ -123,7 +123,7 @@
 func (s *server) applyReport(l Load, inFlight int64, at int64) {
 	storeFloat(&s.otherLoad, max(0, float64(int64(l.Used+l.Queued)-inFlight)))
 	s.slots.Store(int64(l.Slots))
-	s.slotTime.Store(int64(l.Work))
+	s.slotTime.Store(int64(l.SlotTime))
 	storeFloat(&s.hostSlowdown, l.Slowdown)
 	s.reportedAt.Store(at)
 }
--- a/coordination/balance/tried.go
+++ b/coordination/balance/tried.go
@@ -7,15 +7,15 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// maxTried bounds the number of nodes that a Tried excludes; a request is retried fewer
-// times than that.
-const maxTried = 4
+// maxExcluded bounds the number of nodes that are excluded for a request. A request is retried
+// fewer times than that.
+const maxExcluded = 4
 
-// Tried is the set of servers that are excluded for a request: those it has tried in vain,
-// those of a zone to avoid, and those outside its allowed regions. The zero value excludes
-// nothing. It is not safe for concurrent use: each request has its own.
-type Tried struct {
-	nodes [maxTried]model.NodeID
+// Exclusions determines which servers are excluded for a request: those it has tried in vain,
+// those in a zone to avoid, and those outside its allowed regions. The zero value excludes
+// none. It is not safe for concurrent use: each request has its own.
+type Exclusions struct {
+	nodes [maxExcluded]model.NodeID
 	count int
 	zone  model.Zone
 	// regions holds lists of allowed regions. A server's region must be in each list that
@@ -24,54 +24,54 @@
 }
 
 // Add excludes a node. Beyond four nodes, a new one replaces the oldest.
-func (t *Tried) Add(id model.NodeID) {
-	t.nodes[t.count%maxTried] = id
-	t.count++
+func (e *Exclusions) Add(id model.NodeID) {
+	e.nodes[e.count%maxExcluded] = id
+	e.count++
 }
 
 // Remove ends the exclusion of a node.
-func (t *Tried) Remove(id model.NodeID) {
-	for i := range t.nodes {
-		if t.nodes[i] == id {
-			t.nodes[i] = ""
+func (e *Exclusions) Remove(id model.NodeID) {
+	for i := range e.nodes {
+		if e.nodes[i] == id {
+			e.nodes[i] = ""
 		}
 	}
 }
 
 // AvoidZone excludes all servers of a zone and replaces the zone excluded before. The empty
 // zone excludes none.
-func (t *Tried) AvoidZone(z model.Zone) { t.zone = z }
+func (e *Exclusions) AvoidZone(z model.Zone) { e.zone = z }
 
 // Confine excludes the servers whose region isn't in both lists. An empty list allows all
 // regions.
-func (t *Tried) Confine(a, b []model.Region) { t.regions = [2][]model.Region{a, b} }
+func (e *Exclusions) Confine(a, b []model.Region) { e.regions = [2][]model.Region{a, b} }
 
 // Confined reports whether servers are excluded by region.
-func (t *Tried) Confined() bool { return len(t.regions[0]) > 0 || len(t.regions[1]) > 0 }
+func (e *Exclusions) Confined() bool { return len(e.regions[0]) > 0 || len(e.regions[1]) > 0 }
 
 // Len returns the number of nodes added.
-func (t *Tried) Len() int {
-	if t == nil {
+func (e *Exclusions) Len() int {
+	if e == nil {
 		return 0
 	}
-	return t.count
+	return e.count
 }
 
-// excludes reports whether a server is excluded. A nil *Tried excludes none.
-func (t *Tried) excludes(r *endpoint.Record) bool {
-	if t == nil {
+// excludes reports whether a server is excluded. A nil *Exclusions excludes none.
+func (e *Exclusions) excludes(r *endpoint.Record) bool {
+	if e == nil {
 		return false
 	}
-	if t.zone != "" && t.zone == r.Zone {
+	if e.zone != "" && e.zone == r.Zone {
 		return true
 	}
-	for _, allowed := range t.regions {
+	for _, allowed := range e.regions {
 		if len(allowed) > 0 && !slices.Contains(allowed, r.Region) {
 			return true
 		}
 	}
-	for i := range min(t.count, maxTried) {
-		if t.nodes[i] == r.Node {
+	for i := range min(e.count, maxExcluded) {
+		if e.nodes[i] == r.Node {
 			return true
 		}
 	}
--- a/coordination/balance/uneven_test.go
+++ b/coordination/balance/uneven_test.go
@@ -85,12 +85,12 @@
 	return float64(u.inTime.Load()) / float64(u.total.Load())
 }
 
-// request sends one request, and retries it at up to maxTried gates in all.
+// request sends one request, to up to maxExcluded gates until one of them answers.
 func (u *uneven) request(p *Picker, size float64) {
 	began, answered, redirected := time.Now(), false, false
-	var tried Tried
-	for range maxTried {
-		c, err := p.PickFor(time.Now(), u.service, u.records, &tried, Want{Work: unevenWork})
+	var tried Exclusions
+	for range maxExcluded {
+		c, err := p.PickFor(time.Now(), u.service, u.records, &tried, PickOptions{Work: unevenWork})
 		if err != nil {
 			break
 		}
@@ -141,7 +141,7 @@
 		g.ReportSlowness(u.slowness(server)/speed, time.Now())
 	}
 	g.ReleaseSlowed(unevenWork, took, known, time.Now())
-	return Result{Outcome: OK, Load: u.report(g), Work: unevenWork, Typical: g.Typical(unevenWork)}, ""
+	return Result{Outcome: OK, Load: u.report(g), Work: unevenWork, MeanLatency: g.Typical(unevenWork)}, ""
 }
 
 // slowness returns the current slowdown of a server's host.
@@ -155,7 +155,7 @@
 // report returns a gate's load as an entry node parses it from the header.
 func (u *uneven) report(g *gate.Gate) *Load {
 	l := g.Load()
-	load := Load{Used: l.Used, Slots: l.Slots, Queued: l.Queued, Work: g.MeanServiceTime(), Slowdown: g.Slowdown(time.Now())}
+	load := Load{Used: l.Used, Slots: l.Slots, Queued: l.Queued, SlotTime: g.MeanServiceTime(), Slowdown: g.Slowdown(time.Now())}
 	parsed, err := ParseLoad(load.String())
 	if err != nil {
 		panic(err)
@@ -173,9 +173,9 @@
 // unevenVariants are the compared variants. The first is the baseline, the last the default.
 var unevenVariants = []unevenVariant{
 	{"not told", false, false, func(*Config) {}},
-	{"weighted", true, false, func(c *Config) { c.Completion = false }},
+	{"weighted", true, false, func(c *Config) { c.ByCompletionTime = false }},
 	{"completion", true, false, func(*Config) {}},
-	{"weighted, sent on", true, true, func(c *Config) { c.Completion = false }},
+	{"weighted, sent on", true, true, func(c *Config) { c.ByCompletionTime = false }},
 	{"completion, sent on", true, true, func(*Config) {}},
 }
 
@@ -213,7 +213,7 @@
 // compares servers by load times slowness.
 func TestServersAreComparedByLoadWithoutSlowdownReports(t *testing.T) {
 	byLoad := DefaultConfig()
-	byLoad.Completion, byLoad.SlowdownTTL = false, 0
+	byLoad.ByCompletionTime, byLoad.SlowdownTTL = false, 0
 	a, b := New(DefaultConfig(), "z1", "r1", 7), New(byLoad, "z1", "r1", 7)
 	s, rs, rnd := service(0.5), records(9), rand.New(rand.NewPCG(3, 4))
 	for i := range 2000 {
@@ -224,7 +224,7 @@
 		must.NoError(t, errB)
 		must.Eq(t, ca.Record.Node, cb.Record.Node)
 		r := Result{Outcome: OK, Latency: time.Duration(rnd.IntN(200)+1) * time.Millisecond, Load: &Load{
-			Used: rnd.IntN(11), Slots: 10, Queued: rnd.IntN(5), Work: 80 * time.Millisecond,
+			Used: rnd.IntN(11), Slots: 10, Queued: rnd.IntN(5), SlotTime: 80 * time.Millisecond,
 		}}
 		ca.Done(now, r)
 		cb.Done(now, r)
@@ -239,11 +239,11 @@
 		for _, r := range rs {
 			c, ok := p.PickNode(now, s, rs, r.Node, nil)
 			must.True(t, ok)
-			l := &Load{Used: 3, Slots: 10, Work: 100 * time.Millisecond}
+			l := &Load{Used: 3, Slots: 10, SlotTime: 100 * time.Millisecond}
 			if r.Node == "a" {
 				l.Slowdown = slowdown
 			}
-			c.Done(now, Result{Outcome: OK, Load: l, Latency: 100 * time.Millisecond, Typical: 100 * time.Millisecond})
+			c.Done(now, Result{Outcome: OK, Load: l, Latency: 100 * time.Millisecond, MeanLatency: 100 * time.Millisecond})
 		}
 	}
 	report(start, 2.5)
--- a/coordination/balance/want_test.go
+++ b/coordination/balance/want_test.go
@@ -17,7 +17,7 @@
 // trainedPicker returns the pick function of a picker with one server "a" in its own zone and
 // one server "b" in another. Both have answered lookups in 30 ms and reports in 480 ms, but
 // "a" got mostly reports and "b" mostly lookups.
-func trainedPicker(t *testing.T) func(Want) Choice {
+func trainedPicker(t *testing.T) func(PickOptions) Choice {
 	p, s, rs := newPicker(), service(0.5), records(2)
 	rs[1].Zone = "z2"
 	for i := range 80 {
@@ -27,10 +27,10 @@
 		}
 		c, ok := p.PickNode(start, s, rs, id, nil)
 		must.True(t, ok)
-		c.Done(start, Result{Outcome: OK, Latency: took, Typical: took, Work: work,
-			Load: &Load{Used: 4, Slots: 10, Work: 100 * time.Millisecond}})
+		c.Done(start, Result{Outcome: OK, Latency: took, MeanLatency: took, Work: work,
+			Load: &Load{Used: 4, Slots: 10, SlotTime: 100 * time.Millisecond}})
 	}
-	return func(w Want) Choice {
+	return func(w PickOptions) Choice {
 		c, err := p.PickFor(start, s, rs, nil, w)
 		must.NoError(t, err)
 		return c
@@ -44,43 +44,43 @@
 func TestServersAreComparedPerWorkload(t *testing.T) {
 	pick := trainedPicker(t)
 	for range 20 {
-		c := pick(Want{Work: lookup, Patience: 20 * time.Millisecond})
+		c := pick(PickOptions{Work: lookup, MaxNearWait: 20 * time.Millisecond})
 		must.Eq(t, "a", string(c.Record.Node))
 		must.InDelta(t, 1, c.server.slowness(&c.picker.cfg, start.UnixNano()), 0.25)
 		c.Done(start, Result{Outcome: Cancelled})
 	}
 }
 
-// A request stays in its zone while the wait there is within Want.Patience. Beyond that it
-// leaves the zone if it gains more than the margin and Want.Patience.
+// A request stays in its zone while the wait there is within PickOptions.MaxNearWait. Beyond that it
+// leaves the zone if it gains more than the margin and PickOptions.MaxNearWait.
 func TestRequestLeavesItsZoneOnlyWhereItWouldBeLate(t *testing.T) {
 	// The near server has 10 slots, of which other nodes use 3, and one becomes free every
 	// 10 ms: the 8th request waits that long, and each further one 10 ms more.
 	for patience, near := range map[time.Duration]int{0: 8, 20 * time.Millisecond: 10, 50 * time.Millisecond: 13} {
 		pick := trainedPicker(t)
 		got := 0
-		for pick(Want{Work: lookup, Patience: patience}).Record.Node == "a" {
+		for pick(PickOptions{Work: lookup, MaxNearWait: patience}).Record.Node == "a" {
 			got++
 		}
 		must.Eq(t, near, got, must.Sprint(patience))
 	}
 }
 
-// A request with Want.Near gets no server once all servers of its zone were tried, although
+// A request with PickOptions.NearestOnly gets no server once all servers of its zone were tried, although
 // there is one in another zone.
 func TestNearRequestNeverLeavesItsZone(t *testing.T) {
 	p, s, rs := newPicker(), service(0.5), records(3)
 	rs[2].Zone = "z2"
-	var tried Tried
+	var tried Exclusions
 	for range 2 {
-		c, err := p.PickFor(start, s, rs, &tried, Want{Work: report, Near: true})
+		c, err := p.PickFor(start, s, rs, &tried, PickOptions{Work: report, NearestOnly: true})
 		must.NoError(t, err)
 		must.Eq(t, "z1", c.Record.Zone)
 		tried.Add(c.Record.Node)
 	}
-	_, err := p.PickFor(start, s, rs, &tried, Want{Work: report, Near: true})
+	_, err := p.PickFor(start, s, rs, &tried, PickOptions{Work: report, NearestOnly: true})
 	must.Error(t, err)
-	c, err := p.PickFor(start, s, rs, &tried, Want{Work: report})
+	c, err := p.PickFor(start, s, rs, &tried, PickOptions{Work: report})
 	must.NoError(t, err)
 	must.Eq(t, "z2", c.Record.Zone)
 }
--- a/coordination/balance/zone.go
+++ b/coordination/balance/zone.go
@@ -43,7 +43,7 @@
 }
 
 // recordUnreachable records that a request didn't reach its host in the zone. It marks the
-// zone as unreachable after Config.ZoneMisses of them in a row, to more than one host.
+// zone as unreachable after Config.ZoneFailures of them in a row, to more than one host.
 func (s *zoneState) recordUnreachable(c *Config, id model.NodeID, at int64) {
 	n := s.unreachable.Add(1)
 	first := s.firstHost.Load()
@@ -54,7 +54,7 @@
 	if *first != id {
 		s.multipleHosts.Store(true)
 	}
-	if n >= c.ZoneMisses && s.multipleHosts.Load() {
+	if n >= c.ZoneFailures && s.multipleHosts.Load() {
 		s.nextTrial.Store(at + int64(c.ZoneRetry))
 	}
 }
@@ -73,9 +73,9 @@
 	return at >= due && s.nextTrial.CompareAndSwap(due, at+int64(c.ZoneRetry))
 }
 
-// Unreachable returns the number of unreachable zones, which get no requests except
+// UnreachableZones returns the number of unreachable zones, which get no requests except
 // trials.
-func (p *Picker) Unreachable() int {
+func (p *Picker) UnreachableZones() int {
 	n := 0
 	for _, s := range p.zones.byName.Range {
 		if s.(*zoneState).nextTrial.Load() != 0 {
--- a/coordination/balance/zone_test.go
+++ b/coordination/balance/zone_test.go
@@ -34,7 +34,7 @@
 		}
 		c.Done(at(0), Result{Outcome: Unreachable})
 	}
-	must.Eq(t, 1, p.Unreachable())
+	must.Eq(t, 1, p.UnreachableZones())
 	sent := 0
 	for d := range 3 * time.Second / (10 * time.Millisecond) {
 		now := d * 10 * time.Millisecond
@@ -51,7 +51,7 @@
 	c, err := pick(4 * time.Second)
 	must.NoError(t, err)
 	c.Done(at(4*time.Second), Result{Outcome: NotRun, Load: &Load{Used: 1, Slots: 10}})
-	must.Eq(t, 0, p.Unreachable())
+	must.Eq(t, 0, p.UnreachableZones())
 	for range 10 {
 		c, err := pick(4 * time.Second)
 		must.NoError(t, err)
@@ -67,12 +67,12 @@
 	for range 100 {
 		zone.recordUnreachable(&p.cfg, "b", 0)
 	}
-	must.Eq(t, 0, p.Unreachable())
+	must.Eq(t, 0, p.UnreachableZones())
 	for i := range 100 {
 		zone.recordUnreachable(&p.cfg, model.NodeID(rune('b'+i%3)), 0)
 		if i%3 == 2 {
 			zone.recordReached()
 		}
 	}
-	must.Eq(t, 0, p.Unreachable())
+	must.Eq(t, 0, p.UnreachableZones())
 }
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -174,5 +174,5 @@
 func (n *Node) showRequests() {
 	n.metrics.GetOrCreateGauge("jacinthgate_requests_quarantined", func() float64 { return float64(n.pub.suspects.Load().Quarantines()) })
 	n.metrics.GetOrCreateGauge("jacinthgate_requests_suspected", func() float64 { return float64(n.pub.suspects.Load().Len()) })
-	n.metrics.GetOrCreateGauge("jacinthgate_zones_unreachable", func() float64 { return float64(n.loop.picker.Unreachable()) })
+	n.metrics.GetOrCreateGauge("jacinthgate_zones_unreachable", func() float64 { return float64(n.loop.picker.UnreachableZones()) })
 }
--- a/transport/entry/delegates.go
+++ b/transport/entry/delegates.go
@@ -23,7 +23,7 @@
 // Balancer chooses a backend server. *balance.Picker is one.
 type Balancer interface {
 	// Pick chooses among the records; Done of the choice is called once.
-	Pick(now time.Time, s *model.Service, records []endpoint.Record, tried *balance.Tried) (balance.Choice, error)
+	Pick(now time.Time, s *model.Service, records []endpoint.Record, tried *balance.Exclusions) (balance.Choice, error)
 }
 
 // Retrier decides on retries and keeps their budgets. *retry.Retrier is one.
--- a/transport/entry/exchange.go
+++ b/transport/entry/exchange.go
@@ -36,7 +36,7 @@
 
 	number    int // of the attempt, from 1
 	inherited bool
-	tried     balance.Tried
+	tried     balance.Exclusions
 	last      attempt
 	resp      *http.Response
 }
--- a/transport/outbound/canary.go
+++ b/transport/outbound/canary.go
@@ -9,7 +9,7 @@
 
 // pickCanary chooses a backend server of a version that isn't trusted yet, where the
 // request may be sent to one. A request that fails there is sent on to others only.
-func (x *exchange) pickCanary(now time.Time, lane *rollout.Lane, want balance.Want) (balance.Choice, bool) {
+func (x *exchange) pickCanary(now time.Time, lane *rollout.Lane, want balance.PickOptions) (balance.Choice, bool) {
 	if lane == nil || x.canaried || !lane.Try(x.route.Repeatable()) {
 		return balance.Choice{}, false
 	}
--- a/transport/outbound/exchange.go
+++ b/transport/outbound/exchange.go
@@ -44,7 +44,7 @@
 	// fingerprint is that of what the request asks for.
 	fingerprint suspect.Fingerprint
 	trail       attempt.Trail
-	tried       balance.Tried
+	tried       balance.Exclusions
 	links       pace.Search
 	// called says that a repeated run seems to have made the request: as a call, it is a
 	// repeat itself.
@@ -180,7 +180,7 @@
 
 // pick chooses the backend server for the next send.
 func (x *exchange) pick(now time.Time) (balance.Choice, error) {
-	want := balance.Want{Work: x.work(), Patience: max(0, x.due().Sub(now)/patiencePart)}
+	want := balance.PickOptions{Work: x.work(), MaxNearWait: max(0, x.due().Sub(now)/patiencePart)}
 	lane := x.p.cfg.Lanes().Of(x.service.Name)
 	if c, ok := x.pickCanary(now, lane, want); ok {
 		return c, nil
--- a/transport/outbound/links.go
+++ b/transport/outbound/links.go
@@ -13,13 +13,13 @@
 // pickLink chooses the backend server for a large answer. One from the caller's own
 // host needs no link, so that server is asked first; else a link that is soon free
 // is looked for among the near ones, and then the best of those asked is taken.
-func (x *exchange) pickLink(now time.Time, servers []endpoint.Record, want balance.Want) (balance.Choice, error) {
+func (x *exchange) pickLink(now time.Time, servers []endpoint.Record, want balance.PickOptions) (balance.Choice, error) {
 	b := x.p.cfg.Balance
 	if c, ok := b.PickNode(now, x.service, servers, x.p.cfg.Self, &x.tried); ok {
 		return c, nil
 	}
 	if x.links.TryAnother() {
-		want.Near = x.links.Tried()
+		want.NearestOnly = x.links.Tried()
 		c, err := b.PickFor(now, x.service, servers, &x.tried, want)
 		if err == nil {
 			return c, nil
@@ -30,7 +30,7 @@
 			return c, nil
 		}
 	}
-	want.Near = false
+	want.NearestOnly = false
 	return b.PickFor(now, x.service, servers, &x.tried, want)
 }
 
