--- a/coordination/balance/config.go
+++ b/coordination/balance/config.go
@@ -23,8 +23,8 @@
 	// LatencyGain is the smoothing factor of a server's latency average: the weight of
 	// one new value, 0 to 1.
 	LatencyGain float64
-	// LatencyCap bounds by what factor a server's latency can raise or lower its score,
-	// as a power of two.
+	// LatencyCap is the binary logarithm of the largest factor by which a server's latency
+	// can raise or lower its score.
 	LatencyCap float64
 	// SpillMargin is how much shorter the wait at a server in a farther tier must be for
 	// it to be preferred to a nearer one, in addition to the request's own tolerance
--- a/coordination/balance/picker.go
+++ b/coordination/balance/picker.go
@@ -260,8 +260,9 @@
 	return nil, false
 }
 
-// usable reports whether a request may be sent to the member, which must not be except, and
-// whether it is the member's trial. It starts the trials that it allows.
+// usable reports whether a request may be sent to the member, and whether that would be the
+// member's trial. The member except is never usable. A trial that usable allows counts as
+// started.
 func (p *Picker) usable(m, except *member, excluded *Exclusions, at int64) (ok, trial bool) {
 	if m == except || excluded.excludes(m.record) {
 		return false, false
