--- a/coordination/distribute/accept.go
+++ b/coordination/distribute/accept.go
@@ -10,58 +10,61 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// fromPlatform stands for the platform where a source is named.
-const fromPlatform model.NodeID = ""
+// platformSource is the source of versions that come from the platform instead
+// of a peer.
+const platformSource model.NodeID = ""
 
-// maxReason bounds the reason of a rejection, in bytes.
-const maxReason = 200
+// maxReasonBytes bounds the reason given in a rejection.
+const maxReasonBytes = 200
 
-// refusal is a version that was refused from a source.
-type refusal struct {
+// sourceVersion identifies a version that was rejected when it came from one
+// source.
+type sourceVersion struct {
 	source  model.NodeID
 	version uint64
 }
 
-// raiseHead notes that a version exists.
+// raiseHead records that a version exists, unless a newer one is already
+// recorded.
 func (c *Core) raiseHead(now time.Time, ref snapshot.Ref) {
 	if !ref.Newer(c.head) {
 		return
 	}
 	c.head = ref
-	c.fetch.nextProbe = now.Add(c.around(c.cfg.ProbeInterval))
-	c.zone.changed(now)
-	if c.reader.headAt.IsZero() {
-		c.reader.headAt = now.Add(c.cfg.MergeInterval + c.cfg.HeadDelay)
+	c.fetch.nextProbeAt = now.Add(c.jittered(c.cfg.ProbeInterval))
+	c.zone.markChanged(now)
+	if c.reader.headBeaconAt.IsZero() {
+		c.reader.headBeaconAt = now.Add(c.cfg.MergeInterval + c.cfg.HeadDelay)
 	}
 }
 
-// accept swaps to a whole snapshot if it is newer than the one held and passes
-// every check; otherwise nothing changes.
+// accept replaces the held snapshot by a newer one that passes all checks. It
+// ignores a snapshot that is not newer and rejects one that fails a check.
 func (c *Core) accept(now time.Time, source model.NodeID, s *snapshot.Snapshot) {
 	if !s.Ref().Newer(c.held.Ref()) {
 		return
 	}
-	if err := c.check(s); err != nil {
+	if err := c.validate(s); err != nil {
 		c.reject(now, source, s.Version(), err)
 		return
 	}
-	c.history.add(now, &c.cfg, c.held, s)
+	c.history.recordSwap(now, &c.cfg, c.held, s)
 	c.held = s
 	c.raiseHead(now, s.Ref())
 	if c.held.Ref() == c.head {
-		c.reader.headAt = time.Time{}
+		c.reader.headBeaconAt = time.Time{}
 	}
-	c.zone.changed(now)
+	c.zone.markChanged(now)
 	c.emit(Swap{Snapshot: s})
 	wasReady := c.ready
 	c.updateReady(now)
 	c.advertAll()
 	if wasReady && c.ready {
-		c.ackSelf(now)
+		c.queueOwnAck(now)
 	}
 }
 
-func (c *Core) check(s *snapshot.Snapshot) error {
+func (c *Core) validate(s *snapshot.Snapshot) error {
 	if err := s.Consistent(); err != nil {
 		return err
 	}
@@ -71,35 +74,37 @@
 	return c.cfg.Check(s)
 }
 
-// reject notes that a version was refused: it is not fetched again from the
-// source for a while, and the zone's reader is told why.
+// reject records that a version failed validation. The node does not fetch it
+// again from the same source for Config.RefuseFor, and reports the reason to
+// the zone's reader.
 func (c *Core) reject(now time.Time, source model.NodeID, version uint64, err error) {
-	c.refused[refusal{source: source, version: version}] = now.Add(c.cfg.RefuseFor)
+	c.refusedUntil[sourceVersion{source: source, version: version}] = now.Add(c.cfg.RefuseFor)
 	reason := err.Error()
-	if len(reason) > maxReason {
-		reason = reason[:maxReason]
+	if len(reason) > maxReasonBytes {
+		reason = reason[:maxReasonBytes]
 	}
 	r := message.Rejection{Node: c.self.Node, Version: version, Reason: reason}
-	c.last = &r
+	c.lastRejection = &r
 	c.queueRejection(now, r)
 }
 
-// isRefused reports whether a version is not to be fetched from a source now.
+// isRefused reports whether a version must not yet be fetched again from a
+// source.
 func (c *Core) isRefused(source model.NodeID, version uint64) bool {
-	_, refused := c.refused[refusal{source: source, version: version}]
+	_, refused := c.refusedUntil[sourceVersion{source: source, version: version}]
 	return refused
 }
 
-// isBaseOrOrder reports errors that say nothing against the version itself: a
-// delta from a base that is no longer held, or one that came too late.
-func isBaseOrOrder(err error) bool {
+// isOutdatedDelta reports whether an error leaves the version itself valid: the
+// delta's base is no longer held, or the delta arrived after a newer version.
+func isOutdatedDelta(err error) bool {
 	var base *snapshot.BaseError
 	var order *snapshot.VersionError
 	return errors.As(err, &base) || errors.As(err, &order)
 }
 
-// isContentError reports errors that say that the version itself is bad, not
-// that it could not be read.
+// isContentError reports whether an error means that the version itself is
+// invalid, rather than that it could not be read.
 func isContentError(err error) bool {
 	var codec *snapshot.CodecError
 	var hash *snapshot.HashError
--- a/coordination/distribute/acks.go
+++ b/coordination/distribute/acks.go
@@ -9,23 +9,27 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// forwardOnce is how long an acknowledgement that was passed on is not passed
-// on again. It ends loops while the ways to the reader change.
-const forwardOnce = 500 * time.Millisecond
+// forwardSuppression is how long an acknowledgement that was passed on is not
+// passed on again. This ends loops, which can arise while the paths to the
+// reader change.
+const forwardSuppression = 500 * time.Millisecond
 
-// ackRelay collects what is to be passed on towards the zone's reader.
+// ackRelay collects the acknowledgements and rejections that are to be passed
+// on towards the zone's reader, and schedules this node's own acknowledgement.
 type ackRelay struct {
-	pending    map[model.NodeKey]message.Ack
-	rejections map[model.NodeID]message.Rejection
-	flushAt    time.Time // zero: nothing is pending
-	forwarded  map[model.NodeKey]forwardedAck
+	pending    map[model.NodeKey]message.Ack      // to be passed on
+	rejections map[model.NodeID]message.Rejection // to be passed on
+	flushAt    time.Time                          // zero: nothing is pending
+	forwarded  map[model.NodeKey]forwardedAck     // recently passed on
 
-	sentAt   time.Time // when this node's own was last sent
-	resendAt time.Time // zero: not needed
-	retries  int
-	lacking  bool // the newest status of the zone lacks it
+	ownSentAt  time.Time // when this node's own acknowledgement was last queued
+	ownRetryAt time.Time // when it is queued again; zero: not scheduled
+	ownRetries int       // since the status last included it
+	omitted    bool      // the zone's newest status does not include it
 }
 
+// forwardedAck is an acknowledgement that was passed on, with the time of doing
+// so.
 type forwardedAck struct {
 	ack message.Ack
 	at  time.Time
@@ -39,7 +43,8 @@
 	}
 }
 
-// newerAck orders the acknowledgements of one node.
+// newerAck reports whether a is newer than b, where both are acknowledgements
+// of the same node.
 func newerAck(a, b message.Ack) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -47,25 +52,27 @@
 	return a.Version > b.Version
 }
 
-// ackSelf reports the version that this node serves with, or 0, and the newer
-// one that it refused.
-func (c *Core) ackSelf(now time.Time) {
+// queueOwnAck queues this node's own acknowledgement, with the version that it
+// serves with, or 0 while it is not ready. If it has rejected a newer version,
+// it queues that rejection too.
+func (c *Core) queueOwnAck(now time.Time) {
 	a := message.Ack{Node: c.self.Node.Key(), Incarnation: c.self.Incarnation}
 	if c.ready {
 		a.Version = c.held.Version()
 	}
 	delete(c.acks.forwarded, a.Node)
-	c.acks.sentAt = now
-	c.acks.resendAt = time.Time{}
-	c.takeAck(now, a)
-	if c.last != nil && c.rejects(c.last.Version) {
-		c.queueRejection(now, *c.last)
+	c.acks.ownSentAt = now
+	c.acks.ownRetryAt = time.Time{}
+	c.queueAck(now, a)
+	if c.lastRejection != nil && c.hasRejected(c.lastRejection.Version) {
+		c.queueRejection(now, *c.lastRejection)
 	}
 }
 
-// rejects reports whether the node refused a version and still lacks it.
-func (c *Core) rejects(version uint64) bool {
-	return c.last != nil && c.last.Version == version && version > c.held.Version()
+// hasRejected reports whether a version is the last one that the node rejected
+// and is newer than the one held.
+func (c *Core) hasRejected(version uint64) bool {
+	return c.lastRejection != nil && c.lastRejection.Version == version && version > c.held.Version()
 }
 
 func (c *Core) acksReceived(now time.Time, p *peer, m *message.Acks) {
@@ -74,44 +81,48 @@
 	}
 	c.setChild(p, len(m.Acks) > 0)
 	for _, a := range m.Acks {
-		c.memory.heard(now, a.Node, a.Version)
-		// What comes down from the reader's side would only go back up.
-		if c.reader.leads || p.id() != c.beacons.upstream {
-			c.takeAck(now, a)
+		c.heldVersions.record(now, a.Node, a.Version)
+		// An acknowledgement from the upstream neighbour would only be sent back
+		// to it.
+		if c.reader.isReader || p.id() != c.beacons.upstream {
+			c.queueAck(now, a)
 		}
 	}
 }
 
-func (c *Core) takeAck(now time.Time, a message.Ack) {
-	if c.reader.leads {
-		c.zone.ack(now, a)
+// queueAck records an acknowledgement if this node is the reader. Otherwise it
+// queues the acknowledgement for the upstream neighbour, unless it was just
+// passed on or a newer one is pending.
+func (c *Core) queueAck(now time.Time, a message.Ack) {
+	if c.reader.isReader {
+		c.zone.recordAck(now, a)
 		return
 	}
 	f, sent := c.acks.forwarded[a.Node]
-	if sent && now.Sub(f.at) < forwardOnce && !newerAck(a, f.ack) {
+	if sent && now.Sub(f.at) < forwardSuppression && !newerAck(a, f.ack) {
 		return
 	}
 	if old, pending := c.acks.pending[a.Node]; pending && !newerAck(a, old) {
 		return
 	}
 	c.acks.pending[a.Node] = a
-	c.flushSoon(now)
+	c.scheduleFlush(now)
 }
 
-func (c *Core) flushSoon(now time.Time) {
+func (c *Core) scheduleFlush(now time.Time) {
 	if c.acks.flushAt.IsZero() {
 		c.acks.flushAt = now.Add(c.cfg.AckDelay)
 	}
 }
 
-// ackTimer passes on what was collected and repeats this node's own
-// acknowledgement when it is due.
+// ackTimer passes on what was collected, and queues this node's own
+// acknowledgement again when that is due.
 func (c *Core) ackTimer(now time.Time) {
 	r := &c.acks
-	if !r.resendAt.IsZero() && !now.Before(r.resendAt) {
-		c.ackSelf(now)
-		if r.lacking {
-			c.scheduleResend()
+	if !r.ownRetryAt.IsZero() && !now.Before(r.ownRetryAt) {
+		c.queueOwnAck(now)
+		if r.omitted {
+			c.scheduleOwnRetry()
 		}
 	}
 	if r.flushAt.IsZero() || now.Before(r.flushAt) || c.beacons.upstream == "" {
@@ -125,7 +136,7 @@
 func (c *Core) flushAcks(now time.Time) {
 	r := &c.acks
 	maps.DeleteFunc(r.forwarded, func(_ model.NodeKey, f forwardedAck) bool {
-		return now.Sub(f.at) >= forwardOnce
+		return now.Sub(f.at) >= forwardSuppression
 	})
 	if len(r.pending) == 0 {
 		return
@@ -139,71 +150,73 @@
 	c.send(c.beacons.upstream, message.Normal, m)
 }
 
-// absorbPending hands what was collected to this node itself, the new reader.
-func (c *Core) absorbPending(now time.Time) {
+// recordPending records what was collected on this node itself, which has
+// become the reader.
+func (c *Core) recordPending(now time.Time) {
 	for _, a := range c.acks.pending {
-		c.zone.ack(now, a)
+		c.zone.recordAck(now, a)
 	}
 	for _, r := range c.acks.rejections {
-		c.zone.reject(now, r)
+		c.zone.recordRejection(now, r)
 	}
 	clear(c.acks.pending)
 	clear(c.acks.rejections)
 	c.acks.flushAt = time.Time{}
-	c.ackSelf(now)
+	c.queueOwnAck(now)
 }
 
-// readerChanged repeats this node's acknowledgement soon: the new reader, or
-// the new way to it, may not have it.
+// readerChanged schedules this node's own acknowledgement, because a new reader
+// or a new path to the reader may not have it.
 func (c *Core) readerChanged(now time.Time) {
 	clear(c.acks.forwarded)
-	c.acks.retries = 0
-	c.ackSoon(now)
+	c.acks.ownRetries = 0
+	c.scheduleOwnAck(now)
 }
 
-// ackSoon repeats this node's acknowledgement, at a random moment so that those
-// of the zone don't come together.
-func (c *Core) ackSoon(now time.Time) {
-	c.acks.resendAt = now.Add(c.jitter(2 * c.cfg.AckDelay))
+// scheduleOwnAck schedules this node's own acknowledgement after a random
+// delay, so that those of all nodes in the zone do not arrive at the same time.
+func (c *Core) scheduleOwnAck(now time.Time) {
+	c.acks.ownRetryAt = now.Add(c.jitter(2 * c.cfg.AckDelay))
 }
 
-// checkSilence repeats this node's acknowledgement when the zone's statuses stay
-// away: the neighbour towards the reader may have missed that it sends them
-// here.
-func (c *Core) checkSilence(now time.Time) {
-	repeat := time.Duration(c.cfg.StatusBeacons+1) * c.cfg.BeaconInterval
-	heard := c.zones[c.self.Zone].ReceivedAt
-	if now.Sub(heard) > repeat && now.Sub(c.started) > repeat && c.acks.resendAt.IsZero() {
-		c.scheduleResend()
+// checkStatusesArrive schedules this node's own acknowledgement when the zone's
+// statuses stop arriving: the upstream neighbour may have missed the
+// acknowledgement that makes it send them to this node.
+func (c *Core) checkStatusesArrive(now time.Time) {
+	maxSilence := time.Duration(c.cfg.StatusBeacons+1) * c.cfg.BeaconInterval
+	receivedAt := c.zones[c.self.Zone].ReceivedAt
+	if now.Sub(receivedAt) > maxSilence && now.Sub(c.started) > maxSilence && c.acks.ownRetryAt.IsZero() {
+		c.scheduleOwnRetry()
 	}
 }
 
-// checkAck repeats this node's acknowledgement, with backoff, while the zone's
-// status lacks it.
-func (c *Core) checkAck(now time.Time, m *message.ZoneStatus) {
-	answered := c.ready && m.Version <= c.held.Version() || c.rejects(m.Version)
-	c.acks.lacking = answered && mayLack(m, c.self.Node)
-	if !c.acks.lacking {
-		c.acks.retries = 0
+// checkOwnAck schedules retries of this node's own acknowledgement, with
+// backoff, while the zone's status does not include it.
+func (c *Core) checkOwnAck(now time.Time, m *message.ZoneStatus) {
+	answered := c.ready && m.Version <= c.held.Version() || c.hasRejected(m.Version)
+	c.acks.omitted = answered && mayOmit(m, c.self.Node)
+	if !c.acks.omitted {
+		c.acks.ownRetries = 0
 		return
 	}
-	if c.acks.resendAt.IsZero() {
-		c.scheduleResend()
+	if c.acks.ownRetryAt.IsZero() {
+		c.scheduleOwnRetry()
 	}
 }
 
-// mayLack reports whether a status lacks a node's answer, as far as its capped
-// lists tell.
-func mayLack(m *message.ZoneStatus, id model.NodeID) bool {
+// mayOmit reports whether a status may lack both an acknowledgement and a
+// rejection from a node. The lists in a status are capped, so true is uncertain
+// for a node that is not listed.
+func mayOmit(m *message.ZoneStatus, id model.NodeID) bool {
 	if slices.ContainsFunc(m.Rejections, func(r message.Rejection) bool { return r.Node == id }) {
 		return false
 	}
-	unnamed := int(m.Live) - int(m.Holding) - len(m.Missing)
-	return unnamed > 0 || slices.Contains(m.Missing, id)
+	unlisted := int(m.Live) - int(m.Holding) - len(m.Missing)
+	return unlisted > 0 || slices.Contains(m.Missing, id)
 }
 
-func (c *Core) scheduleResend() {
-	wait := c.backoff(c.cfg.AckRetry, c.cfg.MaxAckRetry, c.acks.retries)
-	c.acks.retries++
-	c.acks.resendAt = c.acks.sentAt.Add(wait)
+func (c *Core) scheduleOwnRetry() {
+	wait := c.backoff(c.cfg.AckRetry, c.cfg.MaxAckRetry, c.acks.ownRetries)
+	c.acks.ownRetries++
+	c.acks.ownRetryAt = c.acks.ownSentAt.Add(wait)
 }
--- a/coordination/distribute/answer_test.go
+++ b/coordination/distribute/answer_test.go
@@ -13,25 +13,27 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// A node whose neighbours all dialled it as a seed gets ready by their adverts,
-// and no earlier than it holds what they remember of it.
-func TestAdvertAnswersANodeThatWasDialled(t *testing.T) {
+// A node that all its neighbours dialled as a seed gets no answer in their
+// Hello messages. It becomes ready by the answers in their adverts, but not
+// before it holds the version that they remember it to have held.
+func TestDialledNodeBecomesReadyByAdverts(t *testing.T) {
 	t.Parallel()
 	for _, remembered := range []uint64{0, 9} {
-		s := newSingle(t, DefaultConfig())
+		s := newSingleCore(t, DefaultConfig())
 		v := versions(t, 3)[2]
 		for _, id := range []model.NodeID{"p1", "p2"} {
 			r := endpoint.Record{Node: id, Zone: "zone-0"}
 			s.step(0, core.PeerUp{Record: r, Held: v.Ref(), Ready: true})
 			s.receive(0, id, &message.Advert{Held: v.Ref(), Ready: true, Answer: true, LastHeld: remembered})
 		}
-		s.receive(0, "p1", full(t, v))
+		s.receive(0, "p1", fullMessage(t, v))
 		s.idle(time.Second)
 		must.Eq(t, remembered == 0, s.c.Ready())
 	}
 }
 
-// An answer goes to a peer that is not ready, and to no other.
+// A node adds an answer to its advert for a peer that is not ready, and for no
+// other.
 func TestOnlyUnreadyPeersAreAnswered(t *testing.T) {
 	t.Parallel()
 	c := New(DefaultConfig(), endpoint.Record{Node: "self", Zone: "zone-0"}, 1)
--- a/coordination/distribute/beacon.go
+++ b/coordination/distribute/beacon.go
@@ -7,81 +7,87 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// beaconMark orders the beacons of one zone.
-type beaconMark struct {
+// floodStamp orders the beacons of one zone, and likewise its statuses, by
+// lease term and sequence number. Only beacons have hops.
+type floodStamp struct {
 	term     uint64
 	sequence uint64
 	hops     uint8
 }
 
-func (a beaconMark) newer(b beaconMark) bool {
+// newer reports whether a was sent after b.
+func (a floodStamp) newer(b floodStamp) bool {
 	if a.term != b.term {
 		return a.term > b.term
 	}
 	return a.sequence > b.sequence
 }
 
-// better reports whether the peer that delivered a is the better way to the
-// reader than the one that delivered b: the newer beacon, then the fewer hops.
-func (a beaconMark) better(b beaconMark) bool {
+// betterRoute reports whether the peer that delivered a is on a better path to
+// the reader than the one that delivered b: the one with the newer beacon, or
+// with fewer hops if both delivered the same beacon.
+func (a floodStamp) betterRoute(b floodStamp) bool {
 	if a.newer(b) || b.newer(a) {
 		return a.newer(b)
 	}
 	return a.hops < b.hops
 }
 
-// beacons holds the newest beacon of each zone and the way to the reader.
-type beacons struct {
-	marks    map[model.Zone]beaconMark
-	own      *message.Beacon // newest of the own zone, as it is passed on
+// beaconState holds the stamp of each zone's newest beacon and the neighbour
+// towards the reader.
+type beaconState struct {
+	newest   map[model.Zone]floodStamp
+	own      *message.Beacon // newest beacon of this node's zone, as it is relayed
 	ownAt    time.Time
-	upstream model.NodeID // who delivered it first; empty: not known
+	upstream model.NodeID // neighbour towards the reader; empty on the reader and while there is none
 }
 
-func newBeacons() beacons { return beacons{marks: make(map[model.Zone]beaconMark)} }
+func newBeaconState() beaconState { return beaconState{newest: make(map[model.Zone]floodStamp)} }
 
 func (c *Core) beaconReceived(now time.Time, p *peer, m *message.Beacon) {
-	mark := beaconMark{term: m.Term, sequence: m.Sequence, hops: m.Hops}
+	stamp := floodStamp{term: m.Term, sequence: m.Sequence, hops: m.Hops}
 	own := m.Zone == c.self.Zone
-	p.heard(m.Head)
+	p.recordHead(m.Head)
 	if own && !c.sameZone(p) {
-		// Another zone is no way to the reader: it drops acknowledgements.
+		// A peer in another zone is no path to the reader, because it drops
+		// acknowledgements of this zone.
 		c.raiseHead(now, m.Head)
 		return
 	}
-	if own && mark.better(p.beacon) {
-		p.beacon = mark
+	if own && stamp.betterRoute(p.beacon) {
+		p.beacon = stamp
 	}
-	if !mark.newer(c.beacons.marks[m.Zone]) || m.Reader == c.self.Node {
+	if !stamp.newer(c.beacons.newest[m.Zone]) || m.Reader == c.self.Node {
 		return
 	}
-	c.beacons.marks[m.Zone] = mark
-	news := m.Head.Newer(c.head)
+	c.beacons.newest[m.Zone] = stamp
+	newHead := m.Head.Newer(c.head)
 	c.raiseHead(now, m.Head)
 	relayed := *m
 	relayed.Hops++
 	if own {
 		c.ownBeacon(now, p, &relayed)
 	}
-	// Idle beacons of other zones would cost every node bytes for each zone;
-	// only a new head is worth passing on.
-	if (own || news) && relayed.Hops < c.cfg.MaxHops {
+	// Relaying every beacon of another zone would cost each node bandwidth for
+	// each zone, so only one with a new head is relayed.
+	if (own || newHead) && relayed.Hops < c.cfg.MaxHops {
 		c.relayBeacon(p.id(), &relayed)
 	}
 }
 
-// relayBeacon passes a beacon on to all but the sender: in its own zone in any
-// case, elsewhere to those that may not know the head. From outside it doesn't
-// go back into its own zone.
+// relayBeacon sends a beacon to all neighbours but the one it came from. In the
+// beacon's own zone they get it in any case, elsewhere only if they may not
+// have learned of its head. A beacon of another zone is not sent back into that
+// zone.
 func (c *Core) relayBeacon(from model.NodeID, m *message.Beacon) {
 	own := m.Zone == c.self.Zone
-	for _, id := range c.order {
+	for _, id := range c.peerIDs {
 		p := c.peers[id]
-		back := !own && p.record.Zone == m.Zone
-		if id == from || back || !m.Head.Newer(p.knows) && !(own && c.sameZone(p)) {
+		toOrigin := !own && p.record.Zone == m.Zone
+		if id == from || toOrigin || !m.Head.Newer(p.knownHead) && !(own && c.sameZone(p)) {
 			continue
 		}
-		p.heard(m.Head)
+		p.recordHead(m.Head)
 		c.send(id, message.Urgent, m)
 	}
 }
@@ -96,30 +102,33 @@
 	if last == nil || last.Reader != m.Reader || last.Term != m.Term {
 		c.readerChanged(now)
 	}
-	c.checkSilence(now)
+	c.checkStatusesArrive(now)
 	c.joinBeacon(now, m)
 }
 
-// setUpstream changes the way to the reader. The one before need not send
-// statuses here any more, and the new one learns of it by an acknowledgement.
+// setUpstream changes the neighbour towards the reader. An empty Acks message
+// ends the flow of statuses from the previous one to this node; an
+// acknowledgement starts it from the new one.
 func (c *Core) setUpstream(now time.Time, id model.NodeID) {
-	before := c.beacons.upstream
-	if id == before {
+	previous := c.beacons.upstream
+	if id == previous {
 		return
 	}
 	c.beacons.upstream = id
-	if c.peers[before] != nil {
-		c.send(before, message.Normal, &message.Acks{Zone: c.self.Zone})
+	if c.peers[previous] != nil {
+		c.send(previous, message.Normal, &message.Acks{Zone: c.self.Zone})
 	}
 	if id != "" {
-		c.ackSoon(now)
+		c.scheduleOwnAck(now)
 	}
 }
 
-// keepsUpstream reports whether the present upstream is still as good a way to
-// the reader as the peer that delivered m, as it is passed on. It delivered this
-// beacon or the one before, over no more hops. Changing at each beacon to
-// whoever was first would send what is summed on the way along ever new ways.
+// keepsUpstream reports whether the present upstream is still on as good a path
+// to the reader as the peer that delivered m, whose Hops is already incremented
+// for relaying. The upstream must have delivered this beacon or the preceding
+// one, over no more hops. If each beacon moved the upstream to the peer that
+// delivered it first, the paths along which acknowledgements are merged would
+// keep changing.
 func (c *Core) keepsUpstream(m *message.Beacon) bool {
 	up := c.peers[c.beacons.upstream]
 	if up == nil || up.beacon.term != m.Term {
@@ -128,18 +137,19 @@
 	return up.beacon.sequence+1 >= m.Sequence && up.beacon.hops < m.Hops
 }
 
-// upstreamDown picks the next best way to the reader.
+// upstreamDown replaces an upstream that has disconnected by the peer on the
+// next best path to the reader.
 func (c *Core) upstreamDown(now time.Time, id model.NodeID) {
 	if c.beacons.upstream != id {
 		return
 	}
 	var best *peer
-	for _, id := range c.order {
+	for _, id := range c.peerIDs {
 		p := c.peers[id]
-		if p.beacon == (beaconMark{}) {
+		if p.beacon == (floodStamp{}) {
 			continue
 		}
-		if best == nil || p.beacon.better(best.beacon) {
+		if best == nil || p.beacon.betterRoute(best.beacon) {
 			best = p
 		}
 	}
@@ -151,25 +161,26 @@
 	c.readerChanged(now)
 }
 
-// greetWithBeacon shows a new neighbour of the zone the way to the reader.
-func (c *Core) greetWithBeacon(p *peer) {
+// sendBeaconToNewPeer sends the newest beacon to a new neighbour in the zone,
+// which thereby gets a path to the reader.
+func (c *Core) sendBeaconToNewPeer(p *peer) {
 	if c.beacons.own != nil && c.sameZone(p) {
 		c.send(p.id(), message.Urgent, c.beacons.own)
 	}
 }
 
-// beaconTimer floods the reader's beacon when it is due.
+// beaconTimer floods a beacon when this node is the reader and one is due.
 func (c *Core) beaconTimer(now time.Time) {
 	r := &c.reader
-	if !r.leads || !c.beaconDue(now) {
+	if !r.isReader || !c.beaconDue(now) {
 		return
 	}
-	r.beaconNow = false
-	r.headAt = time.Time{}
+	r.beaconPending = false
+	r.headBeaconAt = time.Time{}
 	r.beaconAt = now
-	r.nextBeacon = now.Add(c.cfg.BeaconInterval)
+	r.nextBeaconAt = now.Add(c.cfg.BeaconInterval)
 	r.sequence++
-	r.sinceStatus++
+	r.beaconsSinceStatus++
 	b := &message.Beacon{
 		Zone: c.self.Zone, Reader: c.self.Node, Term: r.term, Sequence: r.sequence,
 		Head: c.head, PlatformOK: r.platformOK && now.Sub(r.readAt) <= c.cfg.BeaconInterval,
@@ -177,20 +188,20 @@
 	c.beacons.own = b
 	c.beacons.ownAt = now
 	c.setUpstream(now, "")
-	c.beacons.marks[c.self.Zone] = beaconMark{term: r.term, sequence: r.sequence}
+	c.beacons.newest[c.self.Zone] = floodStamp{term: r.term, sequence: r.sequence}
 	c.relayBeacon("", b)
 }
 
-// beaconDue reports whether a beacon is to be sent: at each interval, by a new
-// reader, and for a new head that this node doesn't hold. What it holds, its
-// adverts tell.
+// beaconDue reports whether the reader must send a beacon: at each interval,
+// when it has just become the reader, and for a new head whose body it did not
+// receive in time. A head that it holds is announced by its adverts.
 func (c *Core) beaconDue(now time.Time) bool {
 	r := &c.reader
-	if !now.Before(r.nextBeacon) {
+	if !now.Before(r.nextBeaconAt) {
 		return true
 	}
-	if r.beaconNow {
+	if r.beaconPending {
 		return !now.Before(r.beaconAt.Add(c.cfg.HeadDelay))
 	}
-	return c.head.Newer(c.held.Ref()) && !r.headAt.IsZero() && !now.Before(r.headAt)
+	return c.head.Newer(c.held.Ref()) && !r.headBeaconAt.IsZero() && !now.Before(r.headBeaconAt)
 }
--- a/coordination/distribute/cost_test.go
+++ b/coordination/distribute/cost_test.go
@@ -11,9 +11,10 @@
 	"github.com/jacinthgate/jacinthgate/protocol/message"
 )
 
-// measure lets a fleet idle and then publishes changes at random nodes. It
-// returns what that costs per node, and how long it takes, by unit.
-func measure(t testing.TB, organisations, idle, changes int, sizes ...int) map[string]float64 {
+// measureCost lets a fleet idle and then publishes changes at random nodes. It
+// returns figures by unit: messages and bytes per node, reads of the platform's
+// head per second, and the longest times that a change took, in ms.
+func measureCost(t testing.TB, organisations, idle, changes int, sizes ...int) map[string]float64 {
 	t.Helper()
 	const pause = 5 * time.Second
 	n := newNetwork(t, 8, sizes...)
@@ -23,11 +24,11 @@
 		n.start(i)
 	}
 	n.run(20 * time.Second)
-	must.SliceEmpty(t, n.behind())
+	must.SliceEmpty(t, n.nodesBehind())
 	n.resetCounts()
 	n.run(time.Duration(idle) * time.Second)
 	m, b := n.total()
-	c := map[string]float64{"idlemsg/s": m / float64(idle), "idleB/s": b / float64(idle), "polls/s": float64(n.polls) / float64(idle)}
+	c := map[string]float64{"idlemsg/s": m / float64(idle), "idleB/s": b / float64(idle), "polls/s": float64(n.readerPolls) / float64(idle)}
 	n.resetCounts()
 	for range changes {
 		start := n.now
@@ -46,8 +47,8 @@
 	c["changemsg"] = m/float64(changes) - c["idlemsg/s"]*pause.Seconds()
 	c["changeB"] = b/float64(changes) - c["idleB/s"]*pause.Seconds()
 
-	// The baseline: every node polls the head as often as a reader does and
-	// reads each version whole.
+	// The baseline is a fleet in which every node polls the head as often as a
+	// reader does and reads each version whole.
 	whole, err := n.platform.Encode()
 	must.NoError(t, err)
 	head, err := message.Encode(&message.Advert{Held: n.platform.Ref()})
@@ -58,7 +59,7 @@
 	return c
 }
 
-// total returns the messages and bytes sent per node.
+// total returns the mean number of messages and bytes sent by a node.
 func (n *network) total() (messages, size float64) {
 	for k, b := range n.bytes {
 		size += float64(b) / float64(len(n.nodes))
@@ -67,22 +68,23 @@
 	return messages, size
 }
 
-// allInForce reports whether every node knows the version to be in force.
+// allInForce reports whether, in every node's view, every zone has the
+// platform's version in force.
 func (n *network) allInForce() bool {
 	for _, d := range n.nodes {
-		late := func(z ZoneReport) bool { return !z.InForce(n.platform.Version()) }
-		if slices.ContainsFunc(d.core.Status().Zones, late) {
+		notInForce := func(z ZoneReport) bool { return !z.InForce(n.platform.Version()) }
+		if slices.ContainsFunc(d.core.Status().Zones, notInForce) {
 			return false
 		}
 	}
 	return true
 }
 
-// TestCostIsBounded bounds messages, bytes and time in virtual time, with links
-// of 1 ms. Run it with -v for the figures.
+// TestCostIsBounded bounds messages, bytes and convergence times, in virtual
+// time with a link latency of 1 ms. -v prints the figures.
 func TestCostIsBounded(t *testing.T) {
 	t.Parallel()
-	c := measure(t, 100, 10, 6, 17, 17, 16)
+	c := measureCost(t, 100, 10, 6, 17, 17, 16)
 	for unit, limit := range map[string]float64{
 		"idlemsg/s": 4, "idleB/s": 250, "polls/s": 9,
 		"changemsg": 13, "changeB": 1000, "converged-ms": 50, "inforce-ms": 600,
@@ -92,12 +94,13 @@
 	t.Log(c)
 }
 
-// BenchmarkFleet reports the same for larger fleets of 7 zones.
+// BenchmarkFleet reports the figures of TestCostIsBounded for larger fleets of
+// 7 zones.
 func BenchmarkFleet(b *testing.B) {
 	for _, s := range []int{8, 50} {
 		b.Run(fmt.Sprintf("nodes=%d", 7*s), func(b *testing.B) {
 			for b.Loop() {
-				for unit, v := range measure(b, 400, 20, 5, s, s, s, s, s, s, s) {
+				for unit, v := range measureCost(b, 400, 20, 5, s, s, s, s, s, s, s) {
 					b.ReportMetric(v, unit)
 				}
 			}
--- a/coordination/distribute/curve_test.go
+++ b/coordination/distribute/curve_test.go
@@ -9,91 +9,93 @@
 	"github.com/shoenig/test/must"
 )
 
-// load is a series of changes to a fleet.
-type load struct {
+// workload describes a fleet and a series of changes to its configuration.
+type workload struct {
 	nodes, zones, organisations int
 	changes                     int
-	every                       time.Duration // between two changes
-	merge                       time.Duration // MergeInterval
+	interval                    time.Duration // between two changes
+	mergeInterval               time.Duration // Config.MergeInterval
 	idle                        time.Duration // before the changes
 }
 
-// cost is what a load costs.
+// cost is the cost of a workload in time, bytes and reads of the platform.
 type cost struct {
-	p50, max    time.Duration // from a change to its arrival, over nodes and changes
-	mean        float64       // bytes sent for each change: mean of the nodes
-	busiest     float64       // and that of the busiest one
-	idle        float64       // bytes a second while nothing changes: mean
-	busiestIdle float64
-	reads       float64 // of the platform, per second
+	p50, max time.Duration // from a change to its arrival, over nodes and changes
+	mean     float64       // bytes that a node sent per change, idle traffic deducted: mean
+	peak     float64       // the same: highest of all nodes
+	idle     float64       // bytes that a node sent per second before the changes: mean
+	peakIdle float64       // the same: highest of all nodes
+	reads    float64       // reads of the head per second before the changes, over all nodes
 }
 
-// sizes divides the nodes among the zones.
-func (l load) sizes() []int {
-	sizes := make([]int, l.zones)
-	for i := range l.nodes {
-		sizes[i%l.zones]++
+// sizes returns the number of nodes in each zone.
+func (w workload) sizes() []int {
+	sizes := make([]int, w.zones)
+	for i := range w.nodes {
+		sizes[i%w.zones]++
 	}
 	return sizes
 }
 
-// settled is how long a fleet may take until all know the last change in force.
-const settled = 10 * time.Second
+// settleTime is how long a fleet may take until every node has received notice
+// that the last change is in force.
+const settleTime = 10 * time.Second
 
-// run starts the fleet, lets it idle and then makes the changes.
-func (l load) run(t testing.TB) cost {
+// run starts the fleet, lets it idle, makes the changes and returns the cost.
+func (w workload) run(t testing.TB) cost {
 	t.Helper()
-	n := newOverlay(t, 8, hashedChord, l.sizes()...)
-	n.organisations, n.cfg.MergeInterval = l.organisations, l.merge
+	n := newOverlay(t, 8, hashedChord, w.sizes()...)
+	n.organisations, n.cfg.MergeInterval = w.organisations, w.mergeInterval
 	n.publish(-1)
 	for i := range n.nodes {
 		n.start(i)
 	}
-	n.run(settled)
-	must.SliceEmpty(t, n.behind())
+	n.run(settleTime)
+	must.SliceEmpty(t, n.nodesBehind())
 	n.resetCounts()
-	n.run(l.idle)
+	n.run(w.idle)
 	var c cost
-	c.idle, c.busiestIdle = n.sent(l.idle.Seconds())
-	c.reads = float64(n.polls+n.reads) / l.idle.Seconds()
+	c.idle, c.peakIdle = n.bytesSent(w.idle.Seconds())
+	c.reads = float64(n.readerPolls+n.nonReaderReads) / w.idle.Seconds()
 	for _, d := range n.nodes {
-		d.reached = make(map[uint64]time.Time)
+		d.swappedAt = make(map[uint64]time.Time)
 	}
 	n.resetCounts()
 	started := n.now
 	published := make(map[uint64]time.Time)
-	for range l.changes {
+	for range w.changes {
 		n.publish(n.rng.IntN(len(n.nodes)))
 		published[n.platform.Version()] = n.now
-		n.run(l.every)
+		n.run(w.interval)
 	}
-	n.run(settled - l.every)
+	n.run(settleTime - w.interval)
 	must.True(t, n.allInForce())
 	c.p50, c.max = n.latencies(published)
-	idleFor := n.now.Sub(started).Seconds() / float64(l.changes)
-	c.mean, c.busiest = n.sent(float64(l.changes))
+	idleFor := n.now.Sub(started).Seconds() / float64(w.changes)
+	c.mean, c.peak = n.bytesSent(float64(w.changes))
 	c.mean -= c.idle * idleFor
-	c.busiest -= c.busiestIdle * idleFor
+	c.peak -= c.peakIdle * idleFor
 	return c
 }
 
-// sent returns the bytes sent, divided: the mean of the nodes and the most.
-func (n *network) sent(by float64) (mean, most float64) {
+// bytesSent returns the mean and the highest number of bytes that a node sent,
+// both divided by divisor.
+func (n *network) bytesSent(divisor float64) (mean, most float64) {
 	for _, d := range n.nodes {
-		mean += float64(d.sent) / float64(len(n.nodes)) / by
-		most = max(most, float64(d.sent)/by)
+		mean += float64(d.sent) / float64(len(n.nodes)) / divisor
+		most = max(most, float64(d.sent)/divisor)
 	}
 	return mean, most
 }
 
-// latencies returns how long changes took to reach each node, by a version that
-// holds them.
+// latencies returns the median and the longest time from the publication of a
+// version until a node swapped to that version or a newer one.
 func (n *network) latencies(published map[uint64]time.Time) (p50, most time.Duration) {
 	var all []time.Duration
 	for _, d := range n.nodes {
 		for v, at := range published {
 			var first time.Time
-			for held, when := range d.reached {
+			for held, when := range d.swappedAt {
 				if held >= v && (first.IsZero() || when.Before(first)) {
 					first = when
 				}
@@ -105,18 +107,20 @@
 	return all[len(all)/2], all[len(all)-1]
 }
 
-// burst is 20 changes in 2 s.
-func burst(nodes, zones int, merge time.Duration) load {
-	return load{nodes: nodes, zones: zones, organisations: 100, changes: 20, every: 100 * time.Millisecond, merge: merge, idle: 2 * settled}
+// burstWorkload returns a workload of 20 changes in 2 s.
+func burstWorkload(nodes, zones int, merge time.Duration) workload {
+	return workload{nodes: nodes, zones: zones, organisations: 100, changes: 20, interval: 100 * time.Millisecond, mergeInterval: merge, idle: 2 * settleTime}
 }
 
-// spread is changes as of 11,000 a day.
-func spread(nodes, zones int, merge time.Duration) load {
-	return load{nodes: nodes, zones: zones, organisations: 100, changes: 10, every: 24 * time.Hour / 11_000, merge: merge, idle: 2 * settled}
+// steadyWorkload returns a workload of 10 changes, evenly spread at a rate of
+// 11,000 a day.
+func steadyWorkload(nodes, zones int, merge time.Duration) workload {
+	return workload{nodes: nodes, zones: zones, organisations: 100, changes: 10, interval: 24 * time.Hour / 11_000, mergeInterval: merge, idle: 2 * settleTime}
 }
 
-// TestMergeIntervalTradesTimeForBytes bounds the two ends of the curve: twenty
-// changes in 2 s on 50 nodes.
+// TestMergeIntervalTradesTimeForBytes bounds convergence time and bytes of a
+// burst on 50 nodes at both ends of the range of MergeInterval: without
+// merging, and with a merge interval longer than the burst.
 func TestMergeIntervalTradesTimeForBytes(t *testing.T) {
 	t.Parallel()
 	for merge, bounds := range map[time.Duration]struct {
@@ -128,9 +132,9 @@
 	} {
 		t.Run(fmt.Sprint(merge), func(t *testing.T) {
 			t.Parallel()
-			l := burst(50, 3, merge)
-			l.organisations, l.idle = 20, settled
-			c := l.run(t)
+			w := burstWorkload(50, 3, merge)
+			w.organisations, w.idle = 20, settleTime
+			c := w.run(t)
 			must.Between(t, bounds.leastMax, c.max, bounds.mostMax)
 			must.Between(t, bounds.leastMean, c.mean, bounds.mostMean)
 			t.Log(c)
@@ -138,27 +142,29 @@
 	}
 }
 
-// TestBusiestNodeIsBounded keeps the gateways of seven zones cheap.
-func TestBusiestNodeIsBounded(t *testing.T) {
+// TestMostLoadedNodeIsBounded bounds what the node that sends most has to send,
+// which in a fleet of seven zones is a gateway.
+func TestMostLoadedNodeIsBounded(t *testing.T) {
 	t.Parallel()
-	l := spread(50, 7, DefaultConfig().MergeInterval)
-	l.organisations, l.changes, l.idle = 20, 3, settled
-	c := l.run(t)
+	w := steadyWorkload(50, 7, DefaultConfig().MergeInterval)
+	w.organisations, w.changes, w.idle = 20, 3, settleTime
+	c := w.run(t)
 	must.Between(t, 100, c.mean, 1500)
-	must.Between(t, c.mean, c.busiest, 6500)
+	must.Between(t, c.mean, c.peak, 6500)
 	must.Between(t, 100, c.idle, 300)
-	must.Between(t, c.idle, c.busiestIdle, 500)
+	must.Between(t, c.idle, c.peakIdle, 500)
 	t.Log(c)
 }
 
-// BenchmarkMergeInterval reports the curve of convergence against bytes.
+// BenchmarkMergeInterval reports convergence time against bytes for different
+// merge intervals.
 func BenchmarkMergeInterval(b *testing.B) {
 	for _, size := range []struct{ nodes, zones int }{{50, 3}, {200, 7}} {
-		for name, of := range map[string]func(int, int, time.Duration) load{"burst": burst, "spread": spread} {
+		for name, newWorkload := range map[string]func(int, int, time.Duration) workload{"burst": burstWorkload, "spread": steadyWorkload} {
 			for _, merge := range []time.Duration{0, 20 * time.Millisecond, 50 * time.Millisecond, 200 * time.Millisecond, time.Second, 3 * time.Second} {
 				b.Run(fmt.Sprintf("nodes=%d/load=%s/merge=%v", size.nodes, name, merge), func(b *testing.B) {
 					for b.Loop() {
-						of(size.nodes, size.zones, merge).run(b).report(b)
+						newWorkload(size.nodes, size.zones, merge).run(b).report(b)
 					}
 				})
 			}
@@ -166,26 +172,26 @@
 	}
 }
 
-// BenchmarkSlope reports how the costs grow with the fleet.
+// BenchmarkSlope reports how the cost grows with the fleet.
 func BenchmarkSlope(b *testing.B) {
 	for _, size := range []struct{ nodes, zones int }{{50, 7}, {100, 7}, {200, 7}, {350, 7}, {700, 7}, {350, 1}, {614, 1}} {
 		b.Run(fmt.Sprintf("nodes=%d/zones=%d", size.nodes, size.zones), func(b *testing.B) {
 			for b.Loop() {
-				l := spread(size.nodes, size.zones, DefaultConfig().MergeInterval)
-				l.organisations, l.changes = 400, 5
-				l.run(b).report(b)
+				w := steadyWorkload(size.nodes, size.zones, DefaultConfig().MergeInterval)
+				w.organisations, w.changes = 400, 5
+				w.run(b).report(b)
 			}
 		})
 	}
 }
 
-// BenchmarkDesignSize is the fleet that the system is made for, with few
-// contracts to spare memory.
+// BenchmarkDesignSize reports the cost for a fleet of the design size, with few
+// contracts to save memory.
 func BenchmarkDesignSize(b *testing.B) {
 	for b.Loop() {
-		l := spread(7*614, 7, DefaultConfig().MergeInterval)
-		l.organisations, l.changes, l.idle = 20, 3, settled
-		l.run(b).report(b)
+		w := steadyWorkload(7*614, 7, DefaultConfig().MergeInterval)
+		w.organisations, w.changes, w.idle = 20, 3, settleTime
+		w.run(b).report(b)
 	}
 }
 
@@ -194,8 +200,8 @@
 	b.ReportMetric(float64(c.p50.Milliseconds()), "p50-ms")
 	b.ReportMetric(float64(c.max.Milliseconds()), "max-ms")
 	b.ReportMetric(c.mean, "B/change")
-	b.ReportMetric(c.busiest, "busiest-B/change")
+	b.ReportMetric(c.peak, "busiest-B/change")
 	b.ReportMetric(c.idle, "idle-B/s")
-	b.ReportMetric(c.busiestIdle, "busiest-idle-B/s")
+	b.ReportMetric(c.peakIdle, "busiest-idle-B/s")
 	b.ReportMetric(c.reads, "reads/s")
 }
--- a/coordination/distribute/distribute.go
+++ b/coordination/distribute/distribute.go
@@ -18,74 +18,74 @@
 	rng  *rand.Rand
 
 	started time.Time
-	out     []core.Action
-
-	held  *snapshot.Snapshot
-	head  snapshot.Ref // newest version known to exist
-	ready bool
-	live  map[model.NodeID]bool // live members of the zone with this node; nil: not known
-
-	peers   map[model.NodeID]*peer
-	order   []model.NodeID // keys of peers, sorted
-	history history
-	refused map[refusal]time.Time // until when not to fetch
-	last    *message.Rejection    // newest refusal of this node
-	memory  memory
-
-	fetch   fetching
-	serve   serving
-	reader  reader
-	beacons beacons
-	acks    ackRelay
-	zones   map[model.Zone]ZoneReport
-	zone    zoneStatus
-	borders borders
-	join    joining
-
-	nextAdvert  time.Time
-	advertIndex int
+	actions []core.Action
+
+	held        *snapshot.Snapshot
+	head        snapshot.Ref // newest version that this node has learned of
+	ready       bool
+	liveMembers map[model.NodeID]bool // live members of this node's zone, itself included; nil before the first Members
+
+	peers         map[model.NodeID]*peer
+	peerIDs       []model.NodeID // keys of peers, sorted
+	history       history
+	refusedUntil  map[sourceVersion]time.Time // when a rejected version may be fetched again
+	lastRejection *message.Rejection          // this node's newest rejection, or nil
+	heldVersions  heldVersions
+
+	fetch           fetchState
+	serve           serveState
+	reader          readerState
+	beacons         beaconState
+	acks            ackRelay
+	zones           map[model.Zone]ZoneReport
+	zone            zoneStatus
+	crossZoneRelays crossZoneRelays
+	join            joinState
+
+	nextAdvertAt time.Time
+	advertIndex  int
 }
 
-// New returns the core of a node that holds nothing and is not ready. self is
-// the node's own record; only Node, Zone and Incarnation are used. seed makes
-// its random choices repeatable.
+// New returns the core of a node that holds no version and is not ready. self
+// is the node's own record, of which only Node, Zone and Incarnation are used.
+// The same seed repeats the same random choices.
 func New(cfg Config, self endpoint.Record, seed uint64) *Core {
 	return &Core{
-		cfg:     cfg,
-		self:    self,
-		rng:     rand.New(rand.NewPCG(seed, uint64(self.Node.Key()))),
-		held:    snapshot.Empty(),
-		peers:   make(map[model.NodeID]*peer),
-		refused: make(map[refusal]time.Time),
-		memory:  newMemory(cfg),
-		beacons: newBeacons(),
-		acks:    newAckRelay(),
-		zones:   make(map[model.Zone]ZoneReport),
-		zone:    newZoneStatus(),
-		borders: make(borders),
-		join:    newJoining(),
+		cfg:             cfg,
+		self:            self,
+		rng:             rand.New(rand.NewPCG(seed, uint64(self.Node.Key()))),
+		held:            snapshot.Empty(),
+		peers:           make(map[model.NodeID]*peer),
+		refusedUntil:    make(map[sourceVersion]time.Time),
+		heldVersions:    newHeldVersions(cfg),
+		beacons:         newBeaconState(),
+		acks:            newAckRelay(),
+		zones:           make(map[model.Zone]ZoneReport),
+		zone:            newZoneStatus(),
+		crossZoneRelays: make(crossZoneRelays),
+		join:            newJoinState(),
 	}
 }
 
-// Held returns the version held: snapshot.Empty's before the first. Requests
-// may be served with it only while Ready.
+// Held returns the version held, or snapshot.Empty() before the first one.
+// Requests may be served with it only while Ready returns true.
 func (c *Core) Held() *snapshot.Snapshot { return c.held }
 
 // Ready reports whether requests may be served with the version held.
 func (c *Core) Ready() bool { return c.ready }
 
-// LastHeldOf returns the newest version that a node is known to have held, in
-// any of its incarnations; 0 when it is not known. It fills in the LastHeld of
-// a Welcome or Hello.
-func (c *Core) LastHeldOf(id model.NodeID) uint64 { return c.memory.version(id.Key()) }
+// LastHeldOf returns the newest version that a node is recorded to have held in
+// any of its incarnations, or 0 without a record. It is the value of LastHeld
+// in a Welcome or Hello to that node.
+func (c *Core) LastHeldOf(id model.NodeID) uint64 { return c.heldVersions.version(id.Key()) }
 
-// Step takes one event and returns what the driver must do, in order. It takes
-// core.Tick, core.PeerUp, core.PeerDown, core.Received and the events of this
-// package; it ignores others.
+// Step handles one event and returns the actions that the driver must carry
+// out, in order. It handles core.Tick, core.PeerUp, core.PeerDown,
+// core.Received and the events of this package, and ignores all others.
 func (c *Core) Step(now time.Time, ev core.Event) []core.Action {
 	if c.started.IsZero() {
 		c.started = now
-		c.nextAdvert = now.Add(c.jitter(c.cfg.AdvertRefresh))
+		c.nextAdvertAt = now.Add(c.jitter(c.cfg.AdvertRefresh))
 	}
 	switch e := ev.(type) {
 	case core.PeerUp:
@@ -103,9 +103,9 @@
 	case LeaseChanged:
 		c.leaseChanged(now, e)
 	}
-	c.timers(now)
-	out := c.out
-	c.out = nil
+	c.runTimers(now)
+	out := c.actions
+	c.actions = nil
 	return out
 }
 
@@ -134,8 +134,8 @@
 	}
 }
 
-// timers does all that is due. It runs after every event.
-func (c *Core) timers(now time.Time) {
+// runTimers runs every timed task that is due. It is called after every event.
+func (c *Core) runTimers(now time.Time) {
 	c.expire(now)
 	c.pollTimer(now)
 	c.loadTimer(now)
@@ -145,32 +145,32 @@
 	c.beaconTimer(now)
 	c.ackTimer(now)
 	c.statusTimer(now)
-	c.borderTimer(now)
+	c.crossZoneTimer(now)
 	c.advertTimer(now)
 }
 
-// expire drops what is too old to matter.
+// expire drops expired rejections, snapshots and records of other nodes.
 func (c *Core) expire(now time.Time) {
-	for r, until := range c.refused {
+	for r, until := range c.refusedUntil {
 		if !now.Before(until) {
-			delete(c.refused, r)
+			delete(c.refusedUntil, r)
 		}
 	}
 	c.history.expire(now, c.cfg.RecentFor)
-	c.memory.expire(now, c.peers)
+	c.heldVersions.expire(now, c.peers)
 }
 
 func (c *Core) members(now time.Time, e Members) {
-	c.live = make(map[model.NodeID]bool, len(e.Live)+1)
-	c.live[c.self.Node] = true
+	c.liveMembers = make(map[model.NodeID]bool, len(e.Live)+1)
+	c.liveMembers[c.self.Node] = true
 	for _, id := range e.Live {
-		c.live[id] = true
+		c.liveMembers[id] = true
 	}
-	c.zone.forget(c.live)
-	c.zone.changed(now)
+	c.zone.dropFormerMembers(c.liveMembers)
+	c.zone.markChanged(now)
 }
 
-func (c *Core) emit(a core.Action) { c.out = append(c.out, a) }
+func (c *Core) emit(a core.Action) { c.actions = append(c.actions, a) }
 
 func (c *Core) send(to model.NodeID, p message.Priority, m message.Message) {
 	c.emit(core.Send{To: to, Priority: p, Message: m})
@@ -184,16 +184,17 @@
 	return time.Duration(c.rng.Int64N(int64(d)))
 }
 
-// around returns d within a tenth of it.
-func (c *Core) around(d time.Duration) time.Duration {
+// jittered returns d changed at random by at most a tenth in either direction.
+func (c *Core) jittered(d time.Duration) time.Duration {
 	return d - d/10 + c.jitter(d/5)
 }
 
-// backoff returns first doubled failures times, at most limit, with jitter.
+// backoff returns the delay after a number of failures: first, doubled for each
+// of them up to limit, with jitter.
 func (c *Core) backoff(first, limit time.Duration, failures int) time.Duration {
 	d := first
 	for i := 0; i < failures && d < limit; i++ {
 		d *= 2
 	}
-	return c.around(min(d, limit))
+	return c.jittered(min(d, limit))
 }
--- a/coordination/distribute/distribute_test.go
+++ b/coordination/distribute/distribute_test.go
@@ -9,9 +9,9 @@
 	"github.com/jacinthgate/jacinthgate/protocol/message"
 )
 
-// inForceEverywhere fails unless every node knows that every zone has the
-// version in force.
-func inForceEverywhere(t *testing.T, n *network, version uint64, zones int) {
+// checkInForceEverywhere fails unless every node has reports from that many
+// zones and all of them show the version in force.
+func checkInForceEverywhere(t *testing.T, n *network, version uint64, zones int) {
 	t.Helper()
 	for _, d := range n.nodes {
 		must.Len(t, zones, d.core.Status().Zones)
@@ -34,36 +34,36 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			n := startAll(t, 2, 6, 5)
-			n.lost = make(map[message.Kind]bool)
+			n.lostKinds = make(map[message.Kind]bool)
 			for _, k := range kinds {
-				n.lost[k] = true
+				n.lostKinds[k] = true
 			}
 			n.publish(3)
 			n.run(4 * time.Second)
-			n.lost = nil
+			n.lostKinds = nil
 			n.run(9 * time.Second)
-			must.SliceEmpty(t, n.behind())
-			inForceEverywhere(t, n, 2, 2)
+			must.SliceEmpty(t, n.nodesBehind())
+			checkInForceEverywhere(t, n, 2, 2)
 		})
 	}
 }
 
-func TestAdvertsAndBeaconsStandInForEachOther(t *testing.T) {
+func TestAdvertsAndBeaconsReplaceEachOther(t *testing.T) {
 	t.Parallel()
 	n := startAll(t, 3, 8)
-	n.lost = map[message.Kind]bool{message.KindAdvert: true}
+	n.lostKinds = map[message.Kind]bool{message.KindAdvert: true}
 	n.publish(3)
 	n.run(8 * time.Second)
-	must.SliceEmpty(t, n.behind())
-	n.lost[message.KindBeacon] = true
+	must.SliceEmpty(t, n.nodesBehind())
+	n.lostKinds[message.KindBeacon] = true
 	n.publish(3)
 	n.run(time.Second)
-	delete(n.lost, message.KindAdvert)
+	delete(n.lostKinds, message.KindAdvert)
 	n.run(time.Minute)
-	must.SliceEmpty(t, n.behind())
+	must.SliceEmpty(t, n.nodesBehind())
 }
 
-func TestNewReaderLearnsWhoHoldsWhat(t *testing.T) {
+func TestNewReaderReceivesAllAcks(t *testing.T) {
 	t.Parallel()
 	n := startAll(t, 7, 12)
 	n.crash(0)
@@ -89,15 +89,18 @@
 		n.run(5 * time.Millisecond)
 	}
 	n.run(time.Second)
-	must.SliceEmpty(t, n.behind())
-	must.Eq(t, 0, n.messages[message.KindFull], must.Sprint("a shared base is not used"))
+	must.SliceEmpty(t, n.nodesBehind())
+	must.Eq(t, 0, n.messages[message.KindFull], must.Sprint("whole version sent although a base is shared"))
 	for i, d := range n.nodes {
 		must.True(t, i == 5 || d.swaps-before[i] <= burst/3, must.Sprintf("%s swapped %d times", d.id, d.swaps-before[i]))
 	}
 }
 
-// TestHerdsReturn restarts all nodes, or a whole zone without the platform.
-func TestHerdsReturn(t *testing.T) {
+// TestMassRestart restarts one whole zone and then all nodes without the
+// platform, and then all nodes with the platform, first with and then without
+// leases. After a restart of all nodes none may serve without the platform, and
+// reads of the head must stay few.
+func TestMassRestart(t *testing.T) {
 	t.Parallel()
 	n := startAll(t, 5, 9, 9, 8)
 	n.publish(2)
@@ -113,23 +116,23 @@
 	n.platformUp = false
 	restart(9, 18)
 	n.run(15 * time.Second)
-	must.SliceEmpty(t, n.behind(), must.Sprint("one zone, platform down"))
+	must.SliceEmpty(t, n.nodesBehind(), must.Sprint("one zone restarted, platform down"))
 	restart(0, 26)
 	n.run(20 * time.Second)
-	must.Len(t, 26, n.behind(), must.Sprint("all, platform down: none may serve"))
+	must.Len(t, 26, n.nodesBehind(), must.Sprint("all restarted, platform down: no node may serve"))
 	n.platformUp = true
 	restart(0, 26)
 	n.resetCounts()
 	n.run(15 * time.Second)
-	must.SliceEmpty(t, n.behind(), must.Sprint("all, platform up"))
-	must.LessEq(t, 3, n.reads, must.Sprint("reads of the head by nodes that are no reader"))
-	n.noReader = true
+	must.SliceEmpty(t, n.nodesBehind(), must.Sprint("all restarted, platform up"))
+	must.LessEq(t, 3, n.nonReaderReads, must.Sprint("reads of the head by nodes other than readers"))
+	n.noLeases = true
 	restart(0, 26)
 	n.resetCounts()
 	n.run(30 * time.Second)
-	must.SliceEmpty(t, n.behind(), must.Sprint("all, platform up, no lease granted"))
-	must.LessEq(t, 13, n.reads, must.Sprint("reads of the head"))
-	t.Log("reads without a lease:", n.reads)
+	must.SliceEmpty(t, n.nodesBehind(), must.Sprint("all restarted, platform up, no lease granted"))
+	must.LessEq(t, 13, n.nonReaderReads, must.Sprint("reads of the head"))
+	t.Log("reads without a lease:", n.nonReaderReads)
 }
 
 func TestCutOffNodeKeepsServing(t *testing.T) {
@@ -140,5 +143,5 @@
 	}
 	n.platformUp = false
 	n.run(time.Minute)
-	must.SliceEmpty(t, n.behind())
+	must.SliceEmpty(t, n.nodesBehind())
 }
--- a/coordination/distribute/events.go
+++ b/coordination/distribute/events.go
@@ -5,16 +5,17 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// HeadRead answers ReadHead.
+// HeadRead is the result of ReadHead.
 type HeadRead struct {
-	// Ref is the platform's head; the zero Ref when there is no version yet.
+	// Ref is the platform's head, or the zero Ref while the platform has no
+	// version.
 	Ref snapshot.Ref
 	// Err is set when the head could not be read.
 	Err error
 }
 
-// Loaded answers LoadVersion, or brings a version that this node has just
-// accepted.
+// Loaded is the result of LoadVersion, or delivers a version that the platform
+// has just accepted through this node.
 type Loaded struct {
 	// Snapshot is the whole version; nil when Err is set.
 	Snapshot *snapshot.Snapshot
@@ -22,15 +23,16 @@
 	Err error
 }
 
-// Members gives the live members of the node's own zone.
+// Members reports the live members of the node's own zone.
 type Members struct {
-	// Live lists them; the node itself may be left out.
+	// Live are the members; the node itself may be omitted.
 	Live []model.NodeID
 }
 
-// LeaseChanged reports that the node became or is no longer its zone's reader.
+// LeaseChanged reports that the node has become its zone's reader or no longer
+// is.
 type LeaseChanged struct {
-	// Held says that the node holds the lease.
+	// Held is set when the node holds the reader's lease.
 	Held bool
 	// Term is the lease's term.
 	Term uint64
@@ -48,25 +50,26 @@
 // Event implements core.Event.
 func (LeaseChanged) Event() {}
 
-// ReadHead asks for the platform's head. The driver answers with HeadRead.
+// ReadHead requests a read of the platform's head. The driver returns the
+// result as HeadRead.
 type ReadHead struct{}
 
-// LoadVersion asks for a version from the platform: deltas from the version
-// held, or the whole body. The driver answers with Loaded.
+// LoadVersion requests a version from the platform, either as deltas from the
+// version held or whole. The driver returns the result as Loaded.
 type LoadVersion struct {
-	// Ref is the version wanted.
+	// Ref is the requested version.
 	Ref snapshot.Ref
 }
 
 // Swap makes a snapshot the one that requests are served with. It is always
-// newer than the one before. While the node is not ready, no request may be
+// newer than the previous one. While the node is not ready, no request may be
 // served.
 type Swap struct {
 	// Snapshot is whole, consistent and checked.
 	Snapshot *snapshot.Snapshot
 }
 
-// ReadyChanged says whether the node may serve requests.
+// ReadyChanged reports whether the node may now serve requests.
 type ReadyChanged struct {
 	// Ready is the new state.
 	Ready bool
--- a/coordination/distribute/fetch.go
+++ b/coordination/distribute/fetch.go
@@ -7,17 +7,18 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// fetching is the state of the one fetch that may be under way.
-type fetching struct {
-	active    bool
-	source    model.NodeID
-	deadline  time.Time
-	nextStart time.Time // no fetch starts before: bursts are merged
-	nextProbe time.Time // when to ask a neighbour though none told of the head
+// fetchState is the state of fetching from neighbours. At most one fetch runs
+// at a time.
+type fetchState struct {
+	active      bool
+	source      model.NodeID
+	deadline    time.Time
+	nextFetchAt time.Time // earliest start of the next fetch, so that bursts are merged
+	nextProbeAt time.Time // when to fetch the head from a neighbour that has not advertised it
 }
 
-// fetchTimer starts a fetch when a neighbour holds a newer version, and moves
-// on from a source that doesn't answer.
+// fetchTimer starts a fetch when a neighbour holds a newer version, and gives
+// up on a source that does not answer in time.
 func (c *Core) fetchTimer(now time.Time) {
 	if c.fetch.active && now.Before(c.fetch.deadline) {
 		return
@@ -25,7 +26,7 @@
 	if c.fetch.active {
 		c.fetchTimedOut(now)
 	}
-	if now.Before(c.fetch.nextStart) {
+	if now.Before(c.fetch.nextFetchAt) {
 		return
 	}
 	if p := c.bestSource(now); p != nil {
@@ -40,14 +41,14 @@
 	if p := c.peers[c.fetch.source]; p != nil {
 		p.skipUntil = now.Add(c.cfg.FullTimeout + c.jitter(c.cfg.FullTimeout))
 	}
-	c.fetch.nextStart = now.Add(c.jitter(c.cfg.FetchTimeout / 4))
+	c.fetch.nextFetchAt = now.Add(c.jitter(c.cfg.FetchTimeout / 4))
 }
 
-// bestSource returns the neighbour to fetch from: the one with the newest
-// version, of those one in the own zone, of those any.
+// bestSource returns the neighbour to fetch from, or nil: a random one of those
+// with the newest version, if possible one in the same zone.
 func (c *Core) bestSource(now time.Time) *peer {
 	var best []*peer
-	for _, id := range c.order {
+	for _, id := range c.peerIDs {
 		p := c.peers[id]
 		if !p.held.Newer(c.held.Ref()) || now.Before(p.skipUntil) || c.isRefused(id, p.held.Version) {
 			continue
@@ -69,6 +70,8 @@
 	return best[c.rng.IntN(len(best))]
 }
 
+// compareSources returns 1 if a is the better source to fetch from, -1 if b is,
+// and 0 if they are equally good.
 func (c *Core) compareSources(a, b *peer) int {
 	switch {
 	case a.held.Newer(b.held):
@@ -84,15 +87,15 @@
 	}
 }
 
-// probe asks a neighbour for a version that is known to exist though none has
-// told of holding it: adverts may have been lost.
+// probe fetches a version that is known to exist from a neighbour that has not
+// advertised it, because adverts may have been lost.
 func (c *Core) probe(now time.Time) {
-	if !c.head.Newer(c.held.Ref()) || now.Before(c.fetch.nextProbe) {
+	if !c.head.Newer(c.held.Ref()) || now.Before(c.fetch.nextProbeAt) {
 		return
 	}
-	c.fetch.nextProbe = now.Add(c.around(c.cfg.ProbeInterval))
+	c.fetch.nextProbeAt = now.Add(c.jittered(c.cfg.ProbeInterval))
 	var ids []model.NodeID
-	for _, id := range c.order {
+	for _, id := range c.peerIDs {
 		if !c.isRefused(id, c.head.Version) {
 			ids = append(ids, id)
 		}
@@ -111,14 +114,14 @@
 	c.fetch.active = true
 	c.fetch.source = p.id()
 	c.fetch.deadline = now.Add(timeout)
-	c.fetch.nextStart = now.Add(c.cfg.MergeInterval)
-	p.asked = true
+	c.fetch.nextFetchAt = now.Add(c.cfg.MergeInterval)
+	p.fetchPending = true
 	c.send(p.id(), message.Urgent, &message.Fetch{Have: c.held.Ref(), Recent: c.history.versions()})
 }
 
-// fetchDone ends the fetch from a source, if it is the one under way.
+// fetchDone ends the fetch from a peer if it is the active one.
 func (c *Core) fetchDone(p *peer) {
-	p.asked = false
+	p.fetchPending = false
 	if c.fetch.active && c.fetch.source == p.id() {
 		c.fetch.active = false
 	}
--- a/coordination/distribute/history.go
+++ b/coordination/distribute/history.go
@@ -6,23 +6,24 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// history holds what led to the version held: the deltas between the versions
-// held one after the other, to serve neighbours, and a few earlier snapshots,
-// as a base for deltas that start from them.
+// history keeps earlier versions in two forms: the deltas between the versions
+// held one after the other, which are served to neighbours, and a few earlier
+// snapshots, to which received deltas can be applied.
 type history struct {
-	steps   []*snapshot.Delta // consecutive: steps[i].To == steps[i+1].From
-	recent  []earlier         // newest last
-	encoded map[uint64][]byte // served deltas to the version held, by base
-	full    []byte            // the version held, encoded
+	steps   []*snapshot.Delta  // consecutive: steps[i].To == steps[i+1].From
+	recent  []replacedSnapshot // newest last
+	encoded map[uint64][]byte  // encoded deltas to the version held, by version of their base
+	full    []byte             // the version held, encoded; nil until needed
 }
 
-type earlier struct {
-	snapshot *snapshot.Snapshot
-	until    time.Time // when it was replaced
+// replacedSnapshot is a snapshot that was held earlier.
+type replacedSnapshot struct {
+	snapshot   *snapshot.Snapshot
+	replacedAt time.Time
 }
 
-// add notes the swap from one snapshot to the next.
-func (h *history) add(now time.Time, cfg *Config, from, to *snapshot.Snapshot) {
+// recordSwap records that one held snapshot was replaced by the next.
+func (h *history) recordSwap(now time.Time, cfg *Config, from, to *snapshot.Snapshot) {
 	h.encoded = nil
 	h.full = nil
 	if from.Version() == 0 {
@@ -32,19 +33,20 @@
 	if n := len(h.steps) - cfg.KeepDeltas; n > 0 {
 		h.steps = h.steps[n:]
 	}
-	h.recent = append(h.recent, earlier{snapshot: from, until: now})
+	h.recent = append(h.recent, replacedSnapshot{snapshot: from, replacedAt: now})
 	if n := len(h.recent) - cfg.KeepRecent; n > 0 {
 		h.recent = h.recent[n:]
 	}
 }
 
 func (h *history) expire(now time.Time, keep time.Duration) {
-	for len(h.recent) > 0 && now.Sub(h.recent[0].until) > keep {
+	for len(h.recent) > 0 && now.Sub(h.recent[0].replacedAt) > keep {
 		h.recent = h.recent[1:]
 	}
 }
 
-// base returns the snapshot with the given reference, or nil.
+// base returns the held or an earlier snapshot with the given reference, or
+// nil.
 func (h *history) base(held *snapshot.Snapshot, ref snapshot.Ref) *snapshot.Snapshot {
 	if held.Ref() == ref {
 		return held
@@ -66,9 +68,9 @@
 	return versions
 }
 
-// step returns the reference that a version had when it was held here; the zero
-// Ref when no delta starts from it.
-func (h *history) step(version uint64) snapshot.Ref {
+// deltaBase returns the reference of an earlier held version, or the zero Ref
+// when no delta starts from it.
+func (h *history) deltaBase(version uint64) snapshot.Ref {
 	for _, s := range h.steps {
 		if s.From.Version == version {
 			return s.From
@@ -78,7 +80,7 @@
 }
 
 // delta returns the encoded delta from a base to the version held, or nil when
-// the base is not known here. Steps are merged into one delta.
+// no delta from that base is kept. Consecutive deltas are merged into one.
 func (h *history) delta(base snapshot.Ref) ([]byte, error) {
 	if b := h.encoded[base.Version]; b != nil {
 		return b, nil
@@ -100,8 +102,8 @@
 	return nil, nil
 }
 
-// whole returns the encoded version held.
-func (h *history) whole(held *snapshot.Snapshot) ([]byte, error) {
+// encodedFull returns the encoded version held.
+func (h *history) encodedFull(held *snapshot.Snapshot) ([]byte, error) {
 	if h.full != nil {
 		return h.full, nil
 	}
@@ -110,14 +112,14 @@
 	return b, err
 }
 
-// mergeSteps returns one delta that does what the steps do one after the
-// other.
+// mergeSteps returns one delta with the same effect as the steps applied one
+// after the other.
 func mergeSteps(steps []*snapshot.Delta) *snapshot.Delta {
 	if len(steps) == 1 {
 		return steps[0]
 	}
-	contracts := newMerged[snapshot.ContractEntry]()
-	services := newMerged[snapshot.ServiceEntry]()
+	contracts := newMergedChanges[snapshot.ContractEntry]()
+	services := newMergedChanges[snapshot.ServiceEntry]()
 	for _, s := range steps {
 		contracts.add(s.PutContracts, s.DeleteContracts)
 		services.add(s.PutServices, s.DeleteServices)
--- a/coordination/distribute/join.go
+++ b/coordination/distribute/join.go
@@ -8,73 +8,76 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// joining is what a fresh node gathers to be sure that it doesn't serve an
-// older version than it served before its restart.
-type joining struct {
-	done     bool   // it was ready once in this life
-	floorOwn uint64 // newest version that any peer knows this node to have held
-
-	settleAt time.Time // when all neighbours may have answered; zero: no peer yet
-	said     map[model.NodeID]uint64
-	answered map[model.NodeID]bool
-
-	headRead  bool
-	floorHead uint64 // the platform's head, as this node first read it
-
-	beaconTerm  uint64
-	beaconSeq   uint64
-	beaconAt    time.Time // when the first beacon that counts was heard
-	beaconRead  bool
-	floorBeacon uint64 // the reader's head, certainly read after the start
-
-	readAt time.Time // when to read the head; zero: not planned
-	reads  int
+// joinState is what a freshly started node collects to make sure that it does
+// not serve an older version than it served before its restart.
+type joinState struct {
+	done         bool   // the node has been ready since it started
+	minFromPeers uint64 // newest version that any peer remembers this node to have held
+
+	settleAt      time.Time               // end of Config.JoinSettle; zero: no peer yet
+	readyVersions map[model.NodeID]uint64 // version of each peer when it was first seen ready
+	answered      map[model.NodeID]bool   // ready peers that have sent the version that they remember
+
+	headRead    bool   // this node has read the head itself
+	minFromHead uint64 // the platform's head at that read
+
+	beaconTerm    uint64    // of the first beacon that counts
+	beaconSeq     uint64    // of the first beacon that counts
+	beaconAt      time.Time // when that beacon was received; zero: none was
+	beaconProven  bool      // beacons prove a read of the head after the start
+	minFromBeacon uint64    // the reader's head at that proof
+
+	nextReadAt time.Time // when to read the head next; zero: not scheduled
+	reads      int       // reads of the head so far
 }
 
-func newJoining() joining {
-	return joining{said: make(map[model.NodeID]uint64), answered: make(map[model.NodeID]bool)}
+func newJoinState() joinState {
+	return joinState{readyVersions: make(map[model.NodeID]uint64), answered: make(map[model.NodeID]bool)}
 }
 
 func (c *Core) joinPeerUp(now time.Time, p *peer, lastHeld uint64) {
 	j := &c.join
-	j.floorOwn = max(j.floorOwn, lastHeld)
+	j.minFromPeers = max(j.minFromPeers, lastHeld)
 	if j.settleAt.IsZero() {
 		j.settleAt = now.Add(c.cfg.JoinSettle)
 	}
 	c.joinPeerReady(p)
 }
 
-// joinPeerReady counts a peer's answer once it is ready.
+// joinPeerReady records a peer's version and whether it has answered, once the
+// peer is ready.
 func (c *Core) joinPeerReady(p *peer) {
 	j := &c.join
 	if j.done || !p.ready {
 		return
 	}
-	if _, counted := j.said[p.id()]; !counted {
-		j.said[p.id()] = p.held.Version
+	if _, counted := j.readyVersions[p.id()]; !counted {
+		j.readyVersions[p.id()] = p.held.Version
 	}
 	if p.answered {
 		j.answered[p.id()] = true
 	}
 }
 
-// joinHeadRead notes that this node read the head itself, in this life.
+// joinHeadRead records the first head that this node read itself since it
+// started.
 func (c *Core) joinHeadRead(_ time.Time, ref snapshot.Ref) {
 	if c.join.done || c.join.headRead {
 		return
 	}
 	c.join.headRead = true
-	c.join.floorHead = ref.Version
+	c.join.minFromHead = ref.Version
 }
 
-// joinBeacon takes the zone reader's word for the head once its beacons prove
-// that it read it after this node started: a beacon two later than the first
-// one heard, nearly two intervals after it. PlatformOK promises a read within
-// one interval before the beacon, so this holds while a beacon takes less than
-// three quarters of an interval to arrive.
+// joinBeacon accepts the head in the zone reader's beacons once they prove that
+// the reader read it after this node started. The proof is a beacon at least
+// two later than the first one received, and nearly two intervals after it.
+// PlatformOK promises a read within one interval before the beacon, so the
+// proof holds while a beacon takes less than three quarters of an interval to
+// arrive.
 func (c *Core) joinBeacon(now time.Time, m *message.Beacon) {
 	j := &c.join
-	if j.done || j.beaconRead {
+	if j.done || j.beaconProven {
 		return
 	}
 	if !m.PlatformOK {
@@ -85,71 +88,74 @@
 		j.beaconTerm, j.beaconSeq, j.beaconAt = m.Term, m.Sequence, now
 		return
 	}
-	enough := 2*c.cfg.BeaconInterval - c.cfg.BeaconInterval/4
-	if m.Sequence >= j.beaconSeq+2 && now.Sub(j.beaconAt) >= enough {
-		j.beaconRead = true
-		j.floorBeacon = m.Head.Version
+	minSpan := 2*c.cfg.BeaconInterval - c.cfg.BeaconInterval/4
+	if m.Sequence >= j.beaconSeq+2 && now.Sub(j.beaconAt) >= minSpan {
+		j.beaconProven = true
+		j.minFromBeacon = m.Head.Version
 	}
 }
 
 func (c *Core) joinTimer(now time.Time) {
 	c.updateReady(now)
 	if !c.ready {
-		c.joinRead(now)
+		c.joinReadHead(now)
 	}
 }
 
-// updateReady decides whether the node may serve, and tells its neighbours.
+// updateReady decides whether the node may serve requests. A change is reported
+// to the driver, the neighbours and the zone's reader.
 func (c *Core) updateReady(now time.Time) {
 	held := c.held.Version()
-	ready := held > 0 && held >= c.join.floorOwn && (c.join.done || c.sure(now))
+	ready := held > 0 && held >= c.join.minFromPeers && (c.join.done || c.rollbackSafe(now))
 	if ready == c.ready {
 		return
 	}
 	c.ready = ready
 	if ready {
-		c.join = joining{done: true, floorOwn: c.join.floorOwn}
+		c.join = joinState{done: true, minFromPeers: c.join.minFromPeers}
 	}
 	c.emit(ReadyChanged{Ready: ready})
 	c.advertAll()
-	c.ackSelf(now)
+	c.queueOwnAck(now)
 }
 
-// sure reports whether the version held is certainly not older than any that
-// this node served before.
-func (c *Core) sure(now time.Time) bool {
+// rollbackSafe reports whether the version held is certainly not older than any
+// that this node served before it restarted.
+func (c *Core) rollbackSafe(now time.Time) bool {
 	j := &c.join
 	held := c.held.Version()
-	if j.headRead && held >= j.floorHead {
+	if j.headRead && held >= j.minFromHead {
 		return true
 	}
 	if j.settleAt.IsZero() || now.Before(j.settleAt) {
 		return false
 	}
-	if j.beaconRead && held >= j.floorBeacon {
+	if j.beaconProven && held >= j.minFromBeacon {
 		return true
 	}
-	if len(j.answered) >= c.quorum() && held >= c.newestSaid(false) {
+	if len(j.answered) >= c.quorum() && held >= c.newestReadyVersion(false) {
 		return true
 	}
 	timedOut := !now.Before(c.started.Add(c.cfg.JoinTimeout))
-	return timedOut && c.anyReady() && held >= c.newestSaid(true)
+	return timedOut && c.anyReady() && held >= c.newestReadyVersion(true)
 }
 
-// quorum returns how many ready peers must have told what they remember of
-// this node: JoinQuorum, or all other known members of the zone if those are
-// fewer.
+// quorum returns how many ready peers must have sent the version that they
+// remember this node to have held: JoinQuorum, or all other live members of the
+// zone if those are fewer, but at least one.
 func (c *Core) quorum() int {
-	if c.live == nil {
+	if c.liveMembers == nil {
 		return c.cfg.JoinQuorum
 	}
-	return max(1, min(c.cfg.JoinQuorum, len(c.live)-1))
+	return max(1, min(c.cfg.JoinQuorum, len(c.liveMembers)-1))
 }
 
-// newestSaid returns the newest version that a ready peer answered with.
-func (c *Core) newestSaid(connectedOnly bool) uint64 {
+// newestReadyVersion returns the newest version that a ready peer held when it
+// was first seen ready. With connectedOnly, peers that have disconnected do not
+// count.
+func (c *Core) newestReadyVersion(connectedOnly bool) uint64 {
 	var newest uint64
-	for id, v := range c.join.said {
+	for id, v := range c.join.readyVersions {
 		if !connectedOnly || c.peers[id] != nil {
 			newest = max(newest, v)
 		}
@@ -166,25 +172,26 @@
 	return false
 }
 
-// joinRead reads the head itself when the peers are of no help. The members of
-// a zone spread their reads, so that a zone that restarts as a whole does not
-// read more than a few times each second.
-func (c *Core) joinRead(now time.Time) {
+// joinReadHead reads the head when this node cannot become ready from its
+// peers: none is ready, or JoinTimeout has passed. The members of a zone spread
+// these reads, so that a restart of the whole zone causes about one read per
+// JoinReadSpacing.
+func (c *Core) joinReadHead(now time.Time) {
 	j := &c.join
-	if j.headRead || c.reader.leads || c.reader.reading || now.Before(c.started.Add(c.cfg.JoinReadDelay)) {
+	if j.headRead || c.reader.isReader || c.reader.reading || now.Before(c.started.Add(c.cfg.JoinReadDelay)) {
 		return
 	}
 	if c.anyReady() && now.Before(c.started.Add(c.cfg.JoinTimeout)) {
 		return
 	}
-	if j.readAt.IsZero() {
-		spread := time.Duration(max(1, len(c.live))) * c.cfg.JoinReadSpacing
-		j.readAt = now.Add(c.jitter(spread))
+	if j.nextReadAt.IsZero() {
+		window := time.Duration(max(1, len(c.liveMembers))) * c.cfg.JoinReadSpacing
+		j.nextReadAt = now.Add(c.jitter(window))
 	}
-	if now.Before(j.readAt) {
+	if now.Before(j.nextReadAt) {
 		return
 	}
-	j.readAt = now.Add(c.backoff(c.cfg.JoinReadDelay, c.cfg.MaxJoinRead, j.reads))
+	j.nextReadAt = now.Add(c.backoff(c.cfg.JoinReadDelay, c.cfg.MaxJoinRead, j.reads))
 	j.reads++
 	c.readHead(now)
 }
--- a/coordination/distribute/memory.go
+++ b/coordination/distribute/memory.go
@@ -6,65 +6,70 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// memoryCheck is the time between two searches for what is too old.
-const memoryCheck = time.Minute
+// heldVersionsCheckInterval is the time between two searches for expired
+// records.
+const heldVersionsCheckInterval = time.Minute
 
-// memory remembers which version other nodes held, so that a node that
-// restarts can be told. It outlives connections.
-type memory struct {
-	nodes     map[model.NodeKey]remembered
-	keep      time.Duration
-	limit     int
-	nextCheck time.Time
+// heldVersions records the newest version that each other node has held, so
+// that a node can be sent its own after a restart. Records outlive connections.
+type heldVersions struct {
+	nodes       map[model.NodeKey]heldVersion
+	ttl         time.Duration
+	maxNodes    int
+	nextCheckAt time.Time
 }
 
-type remembered struct {
-	version uint64
-	at      time.Time
+// heldVersion is the record of one node.
+type heldVersion struct {
+	version    uint64
+	recordedAt time.Time
 }
 
-func newMemory(cfg Config) memory {
-	return memory{nodes: make(map[model.NodeKey]remembered), keep: cfg.RememberFor, limit: cfg.MaxRemembered}
+func newHeldVersions(cfg Config) heldVersions {
+	return heldVersions{nodes: make(map[model.NodeKey]heldVersion), ttl: cfg.RememberFor, maxNodes: cfg.MaxRemembered}
 }
 
-func (m *memory) version(k model.NodeKey) uint64 { return m.nodes[k].version }
+// version returns the newest version that a node has held, or 0 without a
+// record.
+func (m *heldVersions) version(k model.NodeKey) uint64 { return m.nodes[k].version }
 
-// heard notes that a node held a version. An older version than the one noted
-// only renews the note.
-func (m *memory) heard(now time.Time, k model.NodeKey, version uint64) {
+// record updates the record of a node with a version that it held. An older
+// version than the recorded one only renews the record.
+func (m *heldVersions) record(now time.Time, k model.NodeKey, version uint64) {
 	r, known := m.nodes[k]
 	version = max(version, r.version)
 	if version == 0 {
 		return
 	}
-	if !known && len(m.nodes) >= m.limit {
+	if !known && len(m.nodes) >= m.maxNodes {
 		m.dropOldest()
 	}
-	m.nodes[k] = remembered{version: version, at: now}
+	m.nodes[k] = heldVersion{version: version, recordedAt: now}
 }
 
-func (m *memory) dropOldest() {
+func (m *heldVersions) dropOldest() {
 	var oldest model.NodeKey
 	var at time.Time
 	for k, r := range m.nodes {
-		if at.IsZero() || r.at.Before(at) || (r.at.Equal(at) && k < oldest) {
-			oldest, at = k, r.at
+		if at.IsZero() || r.recordedAt.Before(at) || (r.recordedAt.Equal(at) && k < oldest) {
+			oldest, at = k, r.recordedAt
 		}
 	}
 	delete(m.nodes, oldest)
 }
 
-// expire forgets nodes not heard of for long; connected ones stay.
-func (m *memory) expire(now time.Time, connected map[model.NodeID]*peer) {
-	if now.Before(m.nextCheck) {
+// expire drops the records of nodes that have not been seen for ttl. Those of
+// connected nodes stay.
+func (m *heldVersions) expire(now time.Time, connected map[model.NodeID]*peer) {
+	if now.Before(m.nextCheckAt) {
 		return
 	}
-	m.nextCheck = now.Add(memoryCheck)
+	m.nextCheckAt = now.Add(heldVersionsCheckInterval)
 	for id, p := range connected {
-		m.heard(now, id.Key(), p.held.Version)
+		m.record(now, id.Key(), p.held.Version)
 	}
 	for k, r := range m.nodes {
-		if now.Sub(r.at) > m.keep {
+		if now.Sub(r.recordedAt) > m.ttl {
 			delete(m.nodes, k)
 		}
 	}
--- a/coordination/distribute/merged.go
+++ b/coordination/distribute/merged.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// merged collects the changes of several deltas: the last change of each name
-// counts.
-type merged[E any] struct {
+// mergedChanges collects the changes of several deltas. The last change of each
+// name takes effect.
+type mergedChanges[E any] struct {
 	put map[string]*E
 	del map[string]bool
 }
 
-func newMerged[E any]() *merged[E] {
-	return &merged[E]{put: make(map[string]*E), del: make(map[string]bool)}
+func newMergedChanges[E any]() *mergedChanges[E] {
+	return &mergedChanges[E]{put: make(map[string]*E), del: make(map[string]bool)}
 }
 
-func (m *merged[E]) add(put map[string]*E, del []string) {
+func (m *mergedChanges[E]) add(put map[string]*E, del []string) {
 	for name, e := range put {
 		m.put[name] = e
 		delete(m.del, name)
@@ -27,4 +27,4 @@
 	}
 }
 
-func (m *merged[E]) deleted() []string { return slices.Sorted(maps.Keys(m.del)) }
+func (m *mergedChanges[E]) deleted() []string { return slices.Sorted(maps.Keys(m.del)) }
--- a/coordination/distribute/network_test.go
+++ b/coordination/distribute/network_test.go
@@ -17,86 +17,87 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// network drives many cores in virtual time over lossy links. It checks the
-// rules that hold at every moment.
+// network drives many cores in virtual time over faulty links. At every step it
+// checks that no node goes back to an older version or becomes ready too early,
+// and that no status wrongly reports a version in force.
 type network struct {
 	t     must.T
 	rng   *rand.Rand
 	now   time.Time
-	queue events
+	queue eventQueue
 	term  uint64
 	cfg   Config
 
-	nodes  []*node
-	index  map[model.NodeID]int // of nodes
-	links  []link
-	cut    map[link]bool
-	faults bool                  // drop, duplicate and reorder messages
-	lost   map[message.Kind]bool // kinds that don't arrive
+	nodes       []*node
+	index       map[model.NodeID]int // of nodes
+	links       []link
+	cutLinks    map[link]bool
+	faultyLinks bool                  // messages are dropped, duplicated and reordered
+	lostKinds   map[message.Kind]bool // kinds of message that are dropped
 
 	platform      *snapshot.Snapshot
 	organisations int
 	platformUp    bool
-	noReader      bool // nobody gets a lease
+	noLeases      bool // no node is granted a lease
 
-	reads    int // of the head, by nodes that are no reader
-	polls    int // of the head, by readers
-	bytes    map[message.Kind]int
-	messages map[message.Kind]int
+	nonReaderReads int // of the head, by nodes other than readers
+	readerPolls    int // of the head, by readers
+	bytes          map[message.Kind]int
+	messages       map[message.Kind]int
 
-	wired   message.Message // sent last, as encoded and decoded
-	encoded []byte
-	decoded message.Message
+	lastSent message.Message // message sent last, with its encoded and decoded form
+	encoded  []byte
+	decoded  message.Message
 }
 
-type link [2]int // indexes of nodes
+type link [2]int // indexes into network.nodes, the lower one first
 
 type node struct {
-	id       model.NodeID
-	zone     model.Zone
-	core     *Core
-	life     uint64
-	up       bool
-	paused   bool
-	backlog  []core.Event // what waits while it is paused
-	leads    bool
-	heldLife uint64 // newest version swapped to in this life
-	knew     uint64 // what connected neighbours remember of its earlier lives
-	swaps    int
-	swapAt   time.Time
-	sent     int                  // bytes
-	reached  map[uint64]time.Time // when it swapped to a version; nil: not noted
+	id                model.NodeID
+	zone              model.Zone
+	core              *Core
+	incarnation       uint64
+	up                bool
+	paused            bool
+	backlog           []core.Event // events held back while it is paused
+	hasLease          bool
+	heldVersion       uint64 // newest version swapped to in this incarnation
+	rememberedVersion uint64 // newest version that connected neighbours remember from earlier incarnations
+	swaps             int
+	swapAt            time.Time
+	sent              int                  // bytes sent
+	swappedAt         map[uint64]time.Time // when it swapped to each version; nil: not recorded
 }
 
 type event struct {
-	at    time.Time
-	order int // of events at one time: the last pushed comes last
-	node  int
-	life  uint64
-	ev    core.Event
+	at          time.Time
+	sequence    int // order of events that have the same time
+	node        int
+	incarnation uint64
+	ev          core.Event
 }
 
-// events is a heap by time.
-type events struct {
+// eventQueue is a heap of events ordered by time, then by order of insertion.
+type eventQueue struct {
 	heap   []event
 	pushed int
 }
 
-func (q *events) Len() int { return len(q.heap) }
+func (q *eventQueue) Len() int { return len(q.heap) }
 
-func (q *events) Less(i, j int) bool {
+func (q *eventQueue) Less(i, j int) bool {
 	a, b := &q.heap[i], &q.heap[j]
 	if !a.at.Equal(b.at) {
 		return a.at.Before(b.at)
 	}
-	return a.order < b.order
+	return a.sequence < b.sequence
 }
 
-func (q *events) Swap(i, j int) { q.heap[i], q.heap[j] = q.heap[j], q.heap[i] }
+func (q *eventQueue) Swap(i, j int) { q.heap[i], q.heap[j] = q.heap[j], q.heap[i] }
 
-func (q *events) Push(e any) { q.heap = append(q.heap, e.(event)) }
+func (q *eventQueue) Push(e any) { q.heap = append(q.heap, e.(event)) }
 
-func (q *events) Pop() any {
+func (q *eventQueue) Pop() any {
 	last := len(q.heap) - 1
 	e := q.heap[last]
 	q.heap[last] = event{}
@@ -104,14 +105,16 @@
 	return e
 }
 
-// chord returns the k-th of the members of a zone that its i-th member links to.
-// The first is the next on the ring.
+// chord returns the index of the k-th member of a zone that its i-th member
+// links to. The first one is the next on the ring.
 type chord func(size, i, k int) int
 
+// evenChord links to the next member, and to those about a fifth and half of
+// the ring away.
 func evenChord(size, i, k int) int { return (i + []int{1, 1 + size/5, 1 + size/2}[k]) % size }
 
-// hashedChord is how members of a real zone choose. Ways grow with the logarithm
-// of the zone.
+// hashedChord chooses the links by hash, like members of a real zone. Path
+// lengths grow with the logarithm of the size of the zone.
 func hashedChord(size, i, k int) int {
 	if k == 0 {
 		return (i + 1) % size
@@ -119,15 +122,18 @@
 	return int(uint64(model.NodeID(fmt.Sprint(i, "/", k)).Key()) % uint64(size))
 }
 
-// newNetwork returns zones of the given sizes: in each a ring with two chords,
-// and two gateways linked to those of the other zones.
+// newNetwork returns a network of zones of the given sizes. Each zone is a ring
+// with two more chords per node, and two of its nodes are gateways with links
+// to the gateways of the other zones.
 func newNetwork(t must.T, seed uint64, sizes ...int) *network {
 	return newOverlay(t, seed, evenChord, sizes...)
 }
 
+// newOverlay returns a network like newNetwork's with the links within zones
+// chosen by to.
 func newOverlay(t must.T, seed uint64, to chord, sizes ...int) *network {
 	n := &network{
-		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), cut: make(map[link]bool), cfg: DefaultConfig(),
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), cutLinks: make(map[link]bool), cfg: DefaultConfig(),
 		index: make(map[model.NodeID]int), platform: snapshot.Empty(), platformUp: true, organisations: 8,
 	}
 	n.resetCounts()
@@ -153,7 +159,7 @@
 
 func (n *network) resetCounts() {
 	n.bytes, n.messages = make(map[message.Kind]int), make(map[message.Kind]int)
-	n.reads, n.polls = 0, 0
+	n.nonReaderReads, n.readerPolls = 0, 0
 	for _, d := range n.nodes {
 		d.sent = 0
 	}
@@ -167,14 +173,15 @@
 
 func (n *network) push(after time.Duration, i int, ev core.Event) {
 	n.queue.pushed++
-	heap.Push(&n.queue, event{at: n.now.Add(after), order: n.queue.pushed, node: i, life: n.nodes[i].life, ev: ev})
+	heap.Push(&n.queue, event{at: n.now.Add(after), sequence: n.queue.pushed, node: i, incarnation: n.nodes[i].incarnation, ev: ev})
 }
 
-// start starts a node with nothing, and its connections.
+// start starts a new incarnation of a node, which holds no version, and opens
+// its connections.
 func (n *network) start(i int) {
 	d := n.nodes[i]
-	*d = node{id: d.id, zone: d.zone, life: d.life + 1, up: true}
-	d.core = New(n.cfg, n.record(i), uint64(i)<<16|d.life)
+	*d = node{id: d.id, zone: d.zone, incarnation: d.incarnation + 1, up: true}
+	d.core = New(n.cfg, n.record(i), uint64(i)<<16|d.incarnation)
 	n.push(time.Duration(n.rng.IntN(100))*time.Millisecond, i, core.Tick{})
 	for _, l := range n.links {
 		if slices.Contains(l[:], i) {
@@ -185,10 +192,12 @@
 }
 
 func (n *network) record(i int) endpoint.Record {
-	return endpoint.Record{Node: n.nodes[i].id, Zone: n.nodes[i].zone, Incarnation: n.nodes[i].life}
+	return endpoint.Record{Node: n.nodes[i].id, Zone: n.nodes[i].zone, Incarnation: n.nodes[i].incarnation}
 }
 
-func (n *network) connected(l link) bool { return !n.cut[l] && n.nodes[l[0]].up && n.nodes[l[1]].up }
+func (n *network) connected(l link) bool {
+	return !n.cutLinks[l] && n.nodes[l[0]].up && n.nodes[l[1]].up
+}
 
 func (n *network) connect(l link) {
 	for k, me := range l {
@@ -197,7 +206,7 @@
 				Record: n.record(l[1-k]), Held: peer.core.Held().Ref(), Ready: peer.core.Ready(),
 				Welcomed: true, Answered: true, LastHeld: peer.core.LastHeldOf(n.nodes[me].id),
 			})
-			n.nodes[me].knew = max(n.nodes[me].knew, peer.core.LastHeldOf(n.nodes[me].id))
+			n.nodes[me].rememberedVersion = max(n.nodes[me].rememberedVersion, peer.core.LastHeldOf(n.nodes[me].id))
 		}
 	}
 }
@@ -209,12 +218,12 @@
 }
 
 func (n *network) setCut(l link, cut bool) {
-	was := n.connected(l)
-	n.cut[l] = cut
+	wasConnected := n.connected(l)
+	n.cutLinks[l] = cut
 	switch {
-	case was && cut:
+	case wasConnected && cut:
 		n.disconnect(l)
-	case !was && !cut:
+	case !wasConnected && !cut:
 		n.connect(l)
 	}
 }
@@ -229,22 +238,23 @@
 	n.elect()
 }
 
-// elect gives each zone's lease to its first live node that isn't paused, with
-// a higher term. A paused holder learns of it later. All learn the members.
+// elect grants each zone's lease, with a higher term, to its first live node
+// that is not paused, and sends all live nodes the members of their zone. A
+// paused former holder processes the loss of its lease once it resumes.
 func (n *network) elect() {
 	live := make(map[model.Zone][]model.NodeID)
-	taken := make(map[model.Zone]bool)
+	leaseTaken := make(map[model.Zone]bool)
 	for i, d := range n.nodes {
 		if !d.up {
 			continue
 		}
 		live[d.zone] = append(live[d.zone], d.id)
-		lead := !n.noReader && !d.paused && !taken[d.zone]
-		taken[d.zone] = taken[d.zone] || lead
-		if lead != d.leads {
-			d.leads = lead
+		granted := !n.noLeases && !d.paused && !leaseTaken[d.zone]
+		leaseTaken[d.zone] = leaseTaken[d.zone] || granted
+		if granted != d.hasLease {
+			d.hasLease = granted
 			n.term++
-			n.push(0, i, LeaseChanged{Held: lead, Term: n.term})
+			n.push(0, i, LeaseChanged{Held: granted, Term: n.term})
 		}
 	}
 	for i, d := range n.nodes {
@@ -254,14 +264,14 @@
 	}
 }
 
-// run lets the virtual time pass. What happens to a paused node waits.
+// run advances the virtual time by d. Events for a paused node are held back.
 func (n *network) run(d time.Duration) {
 	end := n.now.Add(d)
 	for n.queue.Len() > 0 && !n.queue.heap[0].at.After(end) {
 		e := heap.Pop(&n.queue).(event)
 		n.now = e.at
 		switch d := n.nodes[e.node]; {
-		case !d.up || d.life != e.life:
+		case !d.up || d.incarnation != e.incarnation:
 		default:
 			d.backlog = append(d.backlog, e.ev)
 			for len(d.backlog) > 0 && !d.paused {
@@ -284,23 +294,23 @@
 		case core.Send:
 			n.deliver(i, a)
 		case ReadHead:
-			if d.leads {
-				n.polls++
+			if d.hasLease {
+				n.readerPolls++
 			} else {
-				n.reads++
+				n.nonReaderReads++
 			}
 			n.push(2*time.Millisecond, i, HeadRead{Ref: n.platform.Ref(), Err: n.outage()})
 		case LoadVersion:
 			n.push(5*time.Millisecond, i, Loaded{Snapshot: n.platform, Err: n.outage()})
 		case Swap:
-			must.Greater(n.t, d.heldLife, a.Snapshot.Version(), must.Sprintf("%s goes back", d.id))
-			d.heldLife, d.swapAt = a.Snapshot.Version(), n.now
-			if d.reached != nil {
-				d.reached[d.heldLife] = n.now
+			must.Greater(n.t, d.heldVersion, a.Snapshot.Version(), must.Sprintf("%s swaps to an older version", d.id))
+			d.heldVersion, d.swapAt = a.Snapshot.Version(), n.now
+			if d.swappedAt != nil {
+				d.swappedAt[d.heldVersion] = n.now
 			}
 			d.swaps++
 		case ReadyChanged:
-			must.True(n.t, !a.Ready || d.core.Held().Version() >= d.knew, must.Sprintf("%s ready too early", d.id))
+			must.True(n.t, !a.Ready || d.core.Held().Version() >= d.rememberedVersion, must.Sprintf("%s is ready with an older version than neighbours remember of it", d.id))
 		}
 	}
 }
@@ -319,18 +329,18 @@
 func (n *network) deliver(from int, s core.Send) {
 	to := n.index[s.To]
 	kind := s.Message.Kind()
-	if !n.connected(link{min(from, to), max(from, to)}) || n.lost[kind] {
+	if !n.connected(link{min(from, to), max(from, to)}) || n.lostKinds[kind] {
 		return
 	}
 	if z, ok := s.Message.(*message.ZoneStatus); ok && z.Holding == z.Live {
 		n.checkInForce(z)
 	}
-	size, m := n.wire(s.Message)
+	size, m := n.roundTrip(s.Message)
 	n.bytes[kind] += size
 	n.nodes[from].sent += size
 	n.messages[kind]++
 	copies, delay := 1, time.Millisecond
-	if n.faults {
+	if n.faultyLinks {
 		copies = []int{0, 1, 1, 1, 2}[n.rng.IntN(5)]
 		delay += time.Duration(n.rng.IntN(30)) * time.Millisecond
 	}
@@ -339,29 +349,31 @@
 	}
 }
 
-// wire encodes and decodes a message, once for all neighbours that it is sent
-// to. It returns its size in bytes and what they receive.
-func (n *network) wire(m message.Message) (int, message.Message) {
-	if n.wired != m {
+// roundTrip encodes and decodes a message, once for all neighbours that it is
+// sent to. It returns its size in bytes and the decoded message.
+func (n *network) roundTrip(m message.Message) (int, message.Message) {
+	if n.lastSent != m {
 		b, err := message.Encode(m)
 		must.NoError(n.t, err)
-		n.wired, n.encoded = m, b
+		n.lastSent, n.encoded = m, b
 		n.decoded, err = message.Decode(b)
 		must.NoError(n.t, err)
 	}
 	return len(n.encoded), n.decoded
 }
 
-// checkInForce fails when a live member of the zone serves an older version.
+// checkInForce fails if a live, ready member of the zone serves an older
+// version than the one that the status reports in force.
 func (n *network) checkInForce(z *message.ZoneStatus) {
 	for _, d := range n.nodes {
 		if d.zone == z.Zone && d.up && d.core.Ready() && d.core.Held().Version() < z.Version {
-			n.t.Fatalf("%s lacks version %d, reported in force", d.id, z.Version)
+			n.t.Fatalf("%s serves an older version than %d, which is reported in force", d.id, z.Version)
 		}
 	}
 }
 
-// publish accepts the next version at a node, or on the platform only.
+// publish makes the next version the platform's, and delivers it to a node as
+// accepted there unless at is negative.
 func (n *network) publish(at int) {
 	n.platform = nextVersion(n.t, n.platform, n.organisations)
 	if at >= 0 && n.nodes[at].up {
@@ -369,8 +381,8 @@
 	}
 }
 
-// behind returns the live nodes that don't serve the platform's version.
-func (n *network) behind() []model.NodeID {
+// nodesBehind returns the live nodes that do not serve the platform's version.
+func (n *network) nodesBehind() []model.NodeID {
 	var ids []model.NodeID
 	for _, d := range n.nodes {
 		if d.up && (!d.core.Ready() || d.core.Held().Ref() != n.platform.Ref()) {
@@ -380,7 +392,8 @@
 	return ids
 }
 
-// nextVersion changes one contract of a snapshot of so many organisations.
+// nextVersion returns the snapshot that follows s, with one organisation's
+// contract changed. Version 1 has new contracts for all organisations.
 func nextVersion(t must.T, s *snapshot.Snapshot, organisations int) *snapshot.Snapshot {
 	v := s.Version() + 1
 	contracts := make(map[string]*snapshot.ContractEntry)
@@ -397,7 +410,8 @@
 	return next
 }
 
-// testContract returns a contract that compresses no better than real ones.
+// testContract returns a contract with random parts, so that it compresses no
+// better than real ones.
 func testContract(name string, burst int) *model.Contract {
 	noise := rand.New(rand.NewPCG(uint64(model.NodeID(name).Key()), 1))
 	c := &model.Contract{
@@ -412,6 +426,8 @@
 	return c
 }
 
+// startAll returns a network in which all nodes have started and serve version
+// 1.
 func startAll(t *testing.T, seed uint64, sizes ...int) *network {
 	t.Helper()
 	n := newNetwork(t, seed, sizes...)
@@ -420,6 +436,6 @@
 		n.start(i)
 	}
 	n.run(12 * time.Second)
-	must.SliceEmpty(t, n.behind())
+	must.SliceEmpty(t, n.nodesBehind())
 	return n
 }
--- a/coordination/distribute/property_test.go
+++ b/coordination/distribute/property_test.go
@@ -12,26 +12,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// parts is the number of parts that random runs are divided into, to run at the
-// same time.
-const parts = 4
+// parallelRuns is the number of subtests that share the random runs and run in
+// parallel.
+const parallelRuns = 4
 
-// TestMain makes the parts do 100 runs together; -rapid.checks on the command
-// line sets the runs of each part.
+// TestMain sets the number of random runs so that all subtests together make
+// 100. -rapid.checks on the command line sets the runs of each subtest.
 func TestMain(m *testing.M) {
-	if err := flag.Set("rapid.checks", fmt.Sprint(100/parts)); err != nil {
+	if err := flag.Set("rapid.checks", fmt.Sprint(100/parallelRuns)); err != nil {
 		panic(err)
 	}
 	flag.Parse()
 	os.Exit(m.Run())
 }
 
-// TestRandomFaults lets everything fail in random order; the network checks at
-// each step that no node goes back, that a node that restarts serves nothing
-// older than a neighbour remembers of it, and that no zone status claims too
-// much. Once all is well again, all must serve the newest version.
+// TestRandomFaults injects random faults in random order. At each step the
+// network checks that no node goes back to an older version, that a restarted
+// node serves nothing older than a neighbour remembers of it, and that no zone
+// status reports a version in force too early. Once all faults have ended, all
+// nodes must serve the newest version.
 func TestRandomFaults(t *testing.T) {
-	for part := range parts {
+	for part := range parallelRuns {
 		t.Run(fmt.Sprint("part-", part), func(t *testing.T) {
 			t.Parallel()
 			rapid.Check(t, randomFaults)
@@ -53,13 +54,14 @@
 	heal(n)
 	for range 45 {
 		n.run(time.Second)
-		if len(n.behind()) == 0 {
+		if len(n.nodesBehind()) == 0 {
 			break
 		}
 	}
-	must.SliceEmpty(rt, n.behind(), must.Sprint("after all healed"))
+	must.SliceEmpty(rt, n.nodesBehind(), must.Sprint("nodes behind after all faults have ended"))
 }
 
+// randomFault publishes a version, or starts or ends one random fault.
 func randomFault(rt *rapid.T, n *network) {
 	i := rapid.IntRange(0, len(n.nodes)-1).Draw(rt, "node")
 	d := n.nodes[i]
@@ -70,11 +72,11 @@
 		}
 	case "cut":
 		l := rapid.SampledFrom(n.links).Draw(rt, "link")
-		n.setCut(l, !n.cut[l])
+		n.setCut(l, !n.cutLinks[l])
 	case "isolate":
 		for _, l := range n.links {
 			if (n.nodes[l[0]].zone == d.zone) != (n.nodes[l[1]].zone == d.zone) {
-				n.setCut(l, !n.cut[l])
+				n.setCut(l, !n.cutLinks[l])
 			}
 		}
 	case "crash":
@@ -87,14 +89,15 @@
 		d.paused = d.up && !d.paused
 		n.elect()
 	case "faults":
-		n.faults = !n.faults
+		n.faultyLinks = !n.faultyLinks
 	case "platform":
 		n.platformUp = !n.platformUp
 	}
 }
 
+// heal ends all faults and starts all nodes that are down.
 func heal(n *network) {
-	n.faults, n.platformUp = false, true
+	n.faultyLinks, n.platformUp = false, true
 	for i, d := range n.nodes {
 		if !d.up {
 			n.start(i)
--- a/coordination/distribute/receive.go
+++ b/coordination/distribute/receive.go
@@ -7,11 +7,11 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// maxParts bounds the parts of one whole version, and so the memory that a
-// faulty peer can claim.
+// maxParts bounds the number of parts of one whole version, and so the memory
+// that a faulty peer can make this node allocate.
 const maxParts = 4096
 
-// assembly collects the parts of one whole version.
+// assembly collects the parts of one whole version from a peer.
 type assembly struct {
 	ref     snapshot.Ref
 	parts   [][]byte
@@ -23,7 +23,8 @@
 	return &assembly{ref: ref, parts: make([][]byte, count), missing: int(count)}
 }
 
-// add stores a part and reports whether it is new and fits.
+// add stores a part and reports whether it is new and within the bounds on
+// index and size.
 func (a *assembly) add(index uint32, body []byte) bool {
 	if int(index) >= len(a.parts) || a.parts[index] != nil || len(body) == 0 {
 		return false
@@ -45,7 +46,7 @@
 }
 
 func (c *Core) deltaReceived(now time.Time, p *peer, m *message.Delta) {
-	if !p.asked {
+	if !p.fetchPending {
 		return
 	}
 	c.fetchDone(p)
@@ -55,21 +56,21 @@
 	base := c.history.base(c.held, m.From)
 	if base == nil {
 		p.skipUntil = now.Add(c.cfg.FetchTimeout)
-		return // the base is gone; the next fetch names what is held now
+		return // the base is no longer held; the next fetch sends the present ones
 	}
-	s, err := apply(base, m)
+	s, err := applyDelta(base, m)
 	if err != nil {
 		p.skipUntil = now.Add(c.cfg.FetchTimeout)
-		if !isBaseOrOrder(err) {
+		if !isOutdatedDelta(err) {
 			c.reject(now, p.id(), m.To.Version, err)
 		}
 		return
 	}
-	c.peerHolds(now, p, m.To)
+	c.recordPeerHeld(now, p, m.To)
 	c.accept(now, p.id(), s)
 }
 
-func apply(base *snapshot.Snapshot, m *message.Delta) (*snapshot.Snapshot, error) {
+func applyDelta(base *snapshot.Snapshot, m *message.Delta) (*snapshot.Snapshot, error) {
 	d, err := snapshot.DecodeDelta(m.Body)
 	if err != nil {
 		return nil, err
@@ -85,7 +86,7 @@
 }
 
 func (c *Core) fullReceived(now time.Time, p *peer, m *message.Full) {
-	if !p.asked || m.Count == 0 || m.Count > maxParts {
+	if !p.fetchPending || m.Count == 0 || m.Count > maxParts {
 		return
 	}
 	if !m.Ref.Newer(c.held.Ref()) || c.isRefused(p.id(), m.Ref.Version) {
@@ -111,7 +112,7 @@
 		c.reject(now, p.id(), m.Ref.Version, err)
 		return
 	}
-	c.peerHolds(now, p, m.Ref)
+	c.recordPeerHeld(now, p, m.Ref)
 	c.accept(now, p.id(), s)
 }
 
@@ -126,8 +127,9 @@
 	return s, nil
 }
 
-// peerHolds notes a version that a peer has shown to hold by sending it.
-func (c *Core) peerHolds(now time.Time, p *peer, ref snapshot.Ref) {
-	p.holds(ref)
-	c.memory.heard(now, p.id().Key(), ref.Version)
+// recordPeerHeld records that a peer holds a version, which it has proved by
+// sending it.
+func (c *Core) recordPeerHeld(now time.Time, p *peer, ref snapshot.Ref) {
+	p.recordHeld(ref)
+	c.heldVersions.record(now, p.id().Key(), ref.Version)
 }
--- a/coordination/distribute/reject.go
+++ b/coordination/distribute/reject.go
@@ -9,7 +9,7 @@
 )
 
 func (c *Core) rejectionsReceived(now time.Time, p *peer, m *message.Rejections) {
-	if m.Zone != c.self.Zone || (!c.reader.leads && p.id() == c.beacons.upstream) {
+	if m.Zone != c.self.Zone || (!c.reader.isReader && p.id() == c.beacons.upstream) {
 		return
 	}
 	c.setChild(p, true)
@@ -18,17 +18,19 @@
 	}
 }
 
-// queueRejection notes a rejection, or passes it on towards the reader.
+// queueRejection records a rejection if this node is the reader. Otherwise it
+// queues the rejection for the upstream neighbour, unless one of the same or a
+// newer version is pending.
 func (c *Core) queueRejection(now time.Time, r message.Rejection) {
-	if c.reader.leads {
-		c.zone.reject(now, r)
+	if c.reader.isReader {
+		c.zone.recordRejection(now, r)
 		return
 	}
 	if old, pending := c.acks.rejections[r.Node]; pending && old.Version >= r.Version {
 		return
 	}
 	c.acks.rejections[r.Node] = r
-	c.flushSoon(now)
+	c.scheduleFlush(now)
 }
 
 func (c *Core) flushRejections() {
--- a/coordination/distribute/relay.go
+++ b/coordination/distribute/relay.go
@@ -9,23 +9,24 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// borders holds when a status of another zone is passed on to third zones.
-type borders map[model.Zone]time.Time
+// crossZoneRelays holds when the status of each other zone is to be passed on
+// to third zones.
+type crossZoneRelays map[model.Zone]time.Time
 
-// statusMark orders the statuses of one zone.
-func statusMark(m *message.ZoneStatus) beaconMark {
-	return beaconMark{term: m.Term, sequence: m.Sequence}
+// statusStamp returns the stamp that orders the statuses of one zone.
+func statusStamp(m *message.ZoneStatus) floodStamp {
+	return floodStamp{term: m.Term, sequence: m.Sequence}
 }
 
-// hasStatus notes that the peer has a status.
-func (p *peer) hasStatus(m *message.ZoneStatus) {
-	if mark := statusMark(m); mark.newer(p.statuses[m.Zone]) {
-		p.statuses[m.Zone] = mark
+// recordStatus records that the peer has a status.
+func (p *peer) recordStatus(m *message.ZoneStatus) {
+	if stamp := statusStamp(m); stamp.newer(p.statuses[m.Zone]) {
+		p.statuses[m.Zone] = stamp
 	}
 }
 
-// setChild notes whether a neighbour takes statuses from this node. A new child
-// gets those that it may lack.
+// setChild records whether a neighbour takes statuses from this node. A new
+// child is sent those that it may lack.
 func (c *Core) setChild(p *peer, child bool) {
 	added := child && !p.child
 	p.child = child
@@ -38,12 +39,13 @@
 	}
 }
 
-// relayStatus passes a status on. In the zone it follows the ways to the reader
-// in both directions, so that it crosses to each node once. The status of the
-// own zone goes to other zones at once; that of another one waits, as that
-// zone's own gateways mostly sent it there too.
+// relayStatus passes a status on. Within the zone it follows the links between
+// nodes and their upstreams in both directions, so that it reaches each node
+// once. The status of this node's own zone goes to other zones at once. That of
+// another zone is delayed, because that zone's own gateways have usually sent
+// it there too.
 func (c *Core) relayStatus(now time.Time, from model.NodeID, m *message.ZoneStatus) {
-	for _, id := range c.order {
+	for _, id := range c.peerIDs {
 		p := c.peers[id]
 		switch {
 		case id == from:
@@ -51,45 +53,46 @@
 			c.sendStatus(p, m)
 		case !c.sameZone(p) && m.Zone == c.self.Zone:
 			c.sendStatus(p, m)
-		case !c.sameZone(p) && c.borders[m.Zone].IsZero():
-			c.borders[m.Zone] = now.Add(c.cfg.BorderDelay + c.jitter(c.cfg.BorderDelay))
+		case !c.sameZone(p) && c.crossZoneRelays[m.Zone].IsZero():
+			c.crossZoneRelays[m.Zone] = now.Add(c.cfg.BorderDelay + c.jitter(c.cfg.BorderDelay))
 		}
 	}
 }
 
-// sendStatus sends a status to a neighbour that is not known to have it.
+// sendStatus sends a status to a neighbour unless the neighbour is known to
+// have it or a newer one.
 func (c *Core) sendStatus(p *peer, m *message.ZoneStatus) {
-	if !statusMark(m).newer(p.statuses[m.Zone]) {
+	if !statusStamp(m).newer(p.statuses[m.Zone]) {
 		return
 	}
-	p.hasStatus(m)
+	p.recordStatus(m)
 	c.send(p.id(), message.Normal, m)
 }
 
-// borderTimer passes on the statuses of other zones that are due.
-func (c *Core) borderTimer(now time.Time) {
-	for _, z := range slices.Sorted(maps.Keys(c.borders)) {
-		if now.Before(c.borders[z]) {
+// crossZoneTimer passes on the statuses of other zones that are due.
+func (c *Core) crossZoneTimer(now time.Time) {
+	for _, z := range slices.Sorted(maps.Keys(c.crossZoneRelays)) {
+		if now.Before(c.crossZoneRelays[z]) {
 			continue
 		}
-		delete(c.borders, z)
+		delete(c.crossZoneRelays, z)
 		s := c.zones[z].Status
-		c.crossBorders(&s)
+		c.relayAcrossZones(&s)
 	}
 }
 
-// crossBorders sends a status to one neighbour in each zone where none is known
-// to have it, and to all neighbours in its own zone that may lack it: that zone
-// may be split.
-func (c *Core) crossBorders(m *message.ZoneStatus) {
+// relayAcrossZones sends a status to one neighbour in each zone in which no
+// neighbour is known to have it. In the zone that the status describes, which
+// may be partitioned, it goes to every neighbour that may lack it.
+func (c *Core) relayAcrossZones(m *message.ZoneStatus) {
 	done := map[model.Zone]bool{c.self.Zone: true}
-	for _, id := range c.order {
+	for _, id := range c.peerIDs {
 		p := c.peers[id]
-		if !statusMark(m).newer(p.statuses[m.Zone]) && p.record.Zone != m.Zone {
+		if !statusStamp(m).newer(p.statuses[m.Zone]) && p.record.Zone != m.Zone {
 			done[p.record.Zone] = true
 		}
 	}
-	for _, id := range c.order {
+	for _, id := range c.peerIDs {
 		p := c.peers[id]
 		if done[p.record.Zone] {
 			continue
--- a/coordination/distribute/rules_test.go
+++ b/coordination/distribute/rules_test.go
@@ -14,75 +14,82 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// single drives one core by hand.
-type single struct {
-	t       *testing.T
-	c       *Core
-	out     []core.Action
-	last    time.Duration
-	readyAt time.Duration     // when it first was ready; never before
-	on      func(core.Action) // sees every action
+// singleCore drives one core with the events of a test.
+type singleCore struct {
+	t        *testing.T
+	c        *Core
+	actions  []core.Action
+	elapsed  time.Duration
+	readyAt  time.Duration     // when it first became ready, or never
+	onAction func(core.Action) // called with every action
 }
 
+// never is the readyAt of a core that has not become ready.
 const never = time.Duration(-1)
 
+// at returns the time that is d after the start.
 func at(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 
-func newSingle(t *testing.T, cfg Config) *single {
+// newSingleCore returns the core of node self, in a zone with the members p1,
+// p2 and p3.
+func newSingleCore(t *testing.T, cfg Config) *singleCore {
 	self := endpoint.Record{Node: "self", Zone: "zone-0", Incarnation: 7}
-	s := &single{t: t, c: New(cfg, self, 1), readyAt: never, on: func(core.Action) {}}
+	s := &singleCore{t: t, c: New(cfg, self, 1), readyAt: never, onAction: func(core.Action) {}}
 	s.step(0, Members{Live: []model.NodeID{"self", "p1", "p2", "p3"}})
 	return s
 }
 
-// step steps at a time after the start and keeps the actions.
-func (s *single) step(d time.Duration, ev core.Event) {
-	s.out = s.c.Step(at(d), ev)
-	s.last = d
+// step passes an event to the core at the time d after the start and keeps the
+// actions.
+func (s *singleCore) step(d time.Duration, ev core.Event) {
+	s.actions = s.c.Step(at(d), ev)
+	s.elapsed = d
 	if s.c.Ready() && s.readyAt == never {
 		s.readyAt = d
 	}
-	for _, a := range s.out {
-		s.on(a)
+	for _, a := range s.actions {
+		s.onAction(a)
 	}
 }
 
-// idle lets only time pass until d.
-func (s *single) idle(d time.Duration) {
-	for s.last < d {
-		s.step(s.last+100*time.Millisecond, core.Tick{})
+// idle lets time pass until d after the start, with no other event.
+func (s *singleCore) idle(d time.Duration) {
+	for s.elapsed < d {
+		s.step(s.elapsed+100*time.Millisecond, core.Tick{})
 	}
 }
 
-func (s *single) up(d time.Duration, id model.NodeID, held snapshot.Ref, ready bool, lastHeld uint64) {
+// connectPeer connects a peer in the same zone that has answered with lastHeld.
+func (s *singleCore) connectPeer(d time.Duration, id model.NodeID, held snapshot.Ref, ready bool, lastHeld uint64) {
 	r := endpoint.Record{Node: id, Zone: "zone-0"}
 	s.step(d, core.PeerUp{Record: r, Held: held, Ready: ready, Answered: true, LastHeld: lastHeld})
 }
 
-func (s *single) receive(d time.Duration, from model.NodeID, m message.Message) {
+func (s *singleCore) receive(d time.Duration, from model.NodeID, m message.Message) {
 	s.step(d, core.Received{From: from, Message: m})
 }
 
-func (s *single) beacon(d time.Duration, from model.NodeID, seq uint64, ok bool) {
+func (s *singleCore) beacon(d time.Duration, from model.NodeID, seq uint64, ok bool) {
 	s.receive(d, from, &message.Beacon{Zone: "zone-0", Reader: "p3", Term: 1, Sequence: seq, PlatformOK: ok})
 }
 
-// joined connects the ready peer p1, which gives its whole version.
-func (s *single) joined(v *snapshot.Snapshot) {
-	s.up(0, "p1", v.Ref(), true, 0)
-	s.receive(0, "p1", full(s.t, v))
+// connectReadyPeer connects the ready peer p1, which sends its whole version.
+func (s *singleCore) connectReadyPeer(v *snapshot.Snapshot) {
+	s.connectPeer(0, "p1", v.Ref(), true, 0)
+	s.receive(0, "p1", fullMessage(s.t, v))
 }
 
-func full(t *testing.T, v *snapshot.Snapshot) *message.Full {
+// fullMessage returns the message that carries a whole version in one part.
+func fullMessage(t *testing.T, v *snapshot.Snapshot) *message.Full {
 	b, err := v.Encode()
 	must.NoError(t, err)
 	return &message.Full{Ref: v.Ref(), Count: 1, Body: b}
 }
 
-// sent returns the messages of one type in the last actions.
-func sent[M message.Message](s *single) []M {
+// sent returns the messages of one type among the last actions.
+func sent[M message.Message](s *singleCore) []M {
 	var ms []M
-	for _, a := range s.out {
+	for _, a := range s.actions {
 		if send, ok := a.(core.Send); ok {
 			if m, ok := send.Message.(M); ok {
 				ms = append(ms, m)
@@ -92,6 +99,7 @@
 	return ms
 }
 
+// versions returns the versions from 0 to count.
 func versions(t *testing.T, count int) []*snapshot.Snapshot {
 	vs := []*snapshot.Snapshot{snapshot.Empty()}
 	for range count {
@@ -105,57 +113,57 @@
 	vs := versions(t, 3)
 	v2, v3 := vs[2], vs[3]
 	for name, tc := range map[string]struct {
-		prepare func(s *single)
+		prepare func(s *singleCore)
 		readyAt time.Duration
 	}{
-		"two ready peers, after they settled": {func(s *single) {
-			s.joined(v2)
-			s.up(0, "p2", v2.Ref(), true, 0)
+		"two ready peers, after JoinSettle": {func(s *singleCore) {
+			s.connectReadyPeer(v2)
+			s.connectPeer(0, "p2", v2.Ref(), true, 0)
 		}, 300 * time.Millisecond},
-		"one ready peer, after the timeout": {func(s *single) {
-			s.joined(v2)
-			s.up(0, "p2", v2.Ref(), false, 0)
+		"one ready peer, after JoinTimeout": {func(s *singleCore) {
+			s.connectReadyPeer(v2)
+			s.connectPeer(0, "p2", v2.Ref(), false, 0)
 		}, 10 * time.Second},
-		"no ready peer": {func(s *single) {
-			s.up(0, "p1", v2.Ref(), false, 0)
+		"no ready peer": {func(s *singleCore) {
+			s.connectPeer(0, "p1", v2.Ref(), false, 0)
 		}, never},
-		"a peer remembers a newer version": {func(s *single) {
-			s.joined(v2)
-			s.up(0, "p2", v2.Ref(), true, 0)
-			s.up(0, "p3", v2.Ref(), false, 3)
+		"a peer remembers a newer version": {func(s *singleCore) {
+			s.connectReadyPeer(v2)
+			s.connectPeer(0, "p2", v2.Ref(), true, 0)
+			s.connectPeer(0, "p3", v2.Ref(), false, 3)
 		}, never},
-		"a ready peer holds a newer version": {func(s *single) {
-			s.joined(v2)
-			s.up(0, "p2", v3.Ref(), true, 0)
+		"a ready peer holds a newer version": {func(s *singleCore) {
+			s.connectReadyPeer(v2)
+			s.connectPeer(0, "p2", v3.Ref(), true, 0)
 		}, never},
-		"the newer version died with its holder": {func(s *single) {
-			s.joined(v2)
-			s.up(0, "p2", v3.Ref(), true, 0)
+		"the only holder of the newer version disconnected": {func(s *singleCore) {
+			s.connectReadyPeer(v2)
+			s.connectPeer(0, "p2", v3.Ref(), true, 0)
 			s.step(0, core.PeerDown{Node: "p2"})
 		}, 10 * time.Second},
-		"the head was read": {func(s *single) {
+		"the head was read": {func(s *singleCore) {
 			s.step(0, HeadRead{Ref: v2.Ref()})
 			s.step(0, Loaded{Snapshot: v2})
 		}, 0},
-		"the head read is newer": {func(s *single) {
+		"the head read is newer than the version held": {func(s *singleCore) {
 			s.step(0, HeadRead{Ref: v3.Ref()})
 			s.step(0, Loaded{Snapshot: v2})
 		}, never},
-		"the reader read the head after the start": {func(s *single) {
-			s.joined(v2)
+		"the reader read the head after the start": {func(s *singleCore) {
+			s.connectReadyPeer(v2)
 			s.beacon(100*time.Millisecond, "p1", 4, true)
 			s.beacon(2100*time.Millisecond, "p1", 5, true)
 			s.beacon(4100*time.Millisecond, "p1", 6, true)
 		}, 4100 * time.Millisecond},
-		"old beacons come late together": {func(s *single) {
-			s.joined(v2)
+		"old beacons arrive late and together": {func(s *singleCore) {
+			s.connectReadyPeer(v2)
 			s.beacon(0, "p1", 4, true)
 			s.beacon(0, "p1", 9, true)
 		}, 10 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSingle(t, DefaultConfig())
+			s := newSingleCore(t, DefaultConfig())
 			tc.prepare(s)
 			s.idle(30 * time.Second)
 			must.Eq(t, tc.readyAt, s.readyAt)
@@ -163,58 +171,58 @@
 	}
 }
 
-func TestReadyEndsWhenAPeerRemembersMore(t *testing.T) {
+func TestReadyEndsWhenAPeerReportsANewerVersion(t *testing.T) {
 	t.Parallel()
 	vs := versions(t, 2)
-	s := newSingle(t, DefaultConfig())
+	s := newSingleCore(t, DefaultConfig())
 	s.step(0, Loaded{Snapshot: vs[1]})
 	must.True(t, s.c.Ready())
-	s.up(time.Second, "p1", vs[1].Ref(), false, 2)
+	s.connectPeer(time.Second, "p1", vs[1].Ref(), false, 2)
 	must.False(t, s.c.Ready())
 	s.step(2*time.Second, Loaded{Snapshot: vs[2]})
 	must.True(t, s.c.Ready())
 }
 
-func TestBadBodiesAreRefusedWhole(t *testing.T) {
+func TestInvalidBodiesAreRejected(t *testing.T) {
 	t.Parallel()
 	vs := versions(t, 2)
 	v1, v2 := vs[1], vs[2]
-	broken, err := snapshot.Build(2, map[string]*snapshot.ContractEntry{
+	dangling, err := snapshot.Build(2, map[string]*snapshot.ContractEntry{
 		"a": {Revision: 2, Contract: testContract("a", 1)},
-	}, nil) // its route's service is not held
+	}, nil) // its route refers to a service that is missing
 	must.NoError(t, err)
 	delta := func(to *snapshot.Snapshot) *message.Delta {
 		b, err := snapshot.Diff(v1, to).Encode()
 		must.NoError(t, err)
 		return &message.Delta{From: v1.Ref(), To: to.Ref(), Body: b}
 	}
-	cutDelta, cutFull, otherRef, otherFull := delta(v2), full(t, v2), delta(v2), full(t, v2)
-	cutDelta.Body = cutDelta.Body[:len(cutDelta.Body)/2]
-	cutFull.Body = cutFull.Body[:len(cutFull.Body)/2]
-	otherRef.To.Hash[0]++
-	otherFull.Ref.Hash[0]++
+	truncatedDelta, truncatedFull, wrongHashDelta, wrongHashFull := delta(v2), fullMessage(t, v2), delta(v2), fullMessage(t, v2)
+	truncatedDelta.Body = truncatedDelta.Body[:len(truncatedDelta.Body)/2]
+	truncatedFull.Body = truncatedFull.Body[:len(truncatedFull.Body)/2]
+	wrongHashDelta.To.Hash[0]++
+	wrongHashFull.Ref.Hash[0]++
 	strict := DefaultConfig()
 	strict.Check = func(*snapshot.Snapshot) error { return &snapshot.CodecError{What: "schema", Err: errDown{}} }
 	for name, tc := range map[string]struct {
 		cfg Config
 		m   message.Message
 	}{
-		"cut delta":           {DefaultConfig(), cutDelta},
-		"cut whole":           {DefaultConfig(), cutFull},
-		"delta of other hash": {DefaultConfig(), otherRef},
-		"whole of other hash": {DefaultConfig(), otherFull},
-		"delta to dangling":   {DefaultConfig(), delta(broken)},
-		"dangling whole":      {DefaultConfig(), full(t, broken)},
-		"fails the check":     {strict, delta(v2)},
+		"truncated delta":                           {DefaultConfig(), truncatedDelta},
+		"truncated whole version":                   {DefaultConfig(), truncatedFull},
+		"delta with wrong hash":                     {DefaultConfig(), wrongHashDelta},
+		"whole version with wrong hash":             {DefaultConfig(), wrongHashFull},
+		"delta to a version with a missing service": {DefaultConfig(), delta(dangling)},
+		"whole version with a missing service":      {DefaultConfig(), fullMessage(t, dangling)},
+		"fails Config.Check":                        {strict, delta(v2)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			lenient := tc.cfg
 			lenient.Check = nil
-			s := newSingle(t, lenient)
+			s := newSingleCore(t, lenient)
 			s.step(0, Loaded{Snapshot: v1})
 			s.c.cfg = tc.cfg
-			s.up(time.Second, "p1", v1.Ref(), true, 0)
+			s.connectPeer(time.Second, "p1", v1.Ref(), true, 0)
 			s.beacon(time.Second, "p1", 1, true)
 			s.receive(time.Second, "p1", &message.Advert{Held: v2.Ref()})
 			must.Len(t, 1, sent[*message.Fetch](s))
@@ -239,15 +247,15 @@
 	}
 }
 
-func TestHerdGetsWholeVersionsInTurn(t *testing.T) {
+func TestFullTransfersAreQueued(t *testing.T) {
 	t.Parallel()
 	cfg := DefaultConfig()
 	cfg.PartBytes, cfg.PartsPerStep = 64, 2
-	s := newSingle(t, cfg)
+	s := newSingleCore(t, cfg)
 	s.step(0, Loaded{Snapshot: versions(t, 1)[1]})
 	next := make(map[model.NodeID]uint32)
 	done := 0
-	s.on = func(a core.Action) {
+	s.onAction = func(a core.Action) {
 		send, ok := a.(core.Send)
 		if !ok || send.Message.Kind() != message.KindFull {
 			return
@@ -263,9 +271,9 @@
 	}
 	for i := range 20 {
 		id := model.NodeID(fmt.Sprint("joiner-", i))
-		s.up(0, id, snapshot.Ref{}, false, 0)
+		s.connectPeer(0, id, snapshot.Ref{}, false, 0)
 		s.receive(0, id, &message.Fetch{})
-		s.receive(0, id, &message.Fetch{}) // asked twice
+		s.receive(0, id, &message.Fetch{}) // a repeated Fetch keeps its place
 	}
 	s.idle(time.Minute)
 	must.Eq(t, 20, done)
@@ -274,14 +282,14 @@
 func TestReaderWaitsForEveryIncarnation(t *testing.T) {
 	t.Parallel()
 	v1 := versions(t, 1)[1]
-	s := newSingle(t, DefaultConfig())
+	s := newSingleCore(t, DefaultConfig())
 	for _, id := range []model.NodeID{"p1", "p2", "p3"} {
-		s.up(0, id, snapshot.Ref{}, true, 0)
+		s.connectPeer(0, id, snapshot.Ref{}, true, 0)
 	}
 	s.step(0, LeaseChanged{Held: true, Term: 1})
 	s.step(0, Loaded{Snapshot: v1})
 	ack := func(id model.NodeID, incarnation, version uint64) {
-		s.receive(s.last+100*time.Millisecond, id, &message.Acks{Zone: "zone-0", Acks: []message.Ack{
+		s.receive(s.elapsed+100*time.Millisecond, id, &message.Acks{Zone: "zone-0", Acks: []message.Ack{
 			{Node: id.Key(), Incarnation: incarnation, Version: version},
 		}})
 	}
@@ -294,25 +302,25 @@
 	ack("p3", 1, 1)
 	must.True(t, inForce())
 	must.Eq(t, 1, s.c.LastHeldOf("p3"))
-	ack("p2", 2, 0) // it restarted
-	ack("p2", 1, 1) // and an old message comes late
+	ack("p2", 2, 0) // p2 has restarted
+	ack("p2", 1, 1) // an acknowledgement of its earlier incarnation arrives late
 	s.idle(6 * time.Second)
 	must.False(t, inForce())
 	ack("p2", 2, 1)
 	must.True(t, inForce())
 }
 
-func TestAckIsRepeatedWithBackoffUntilItCounts(t *testing.T) {
+func TestAckIsRetriedWithBackoffUntilStatusHasIt(t *testing.T) {
 	t.Parallel()
-	s := newSingle(t, DefaultConfig())
+	s := newSingleCore(t, DefaultConfig())
 	s.step(0, Loaded{Snapshot: versions(t, 1)[1]})
-	s.up(0, "p1", s.c.Held().Ref(), true, 0)
+	s.connectPeer(0, "p1", s.c.Held().Ref(), true, 0)
 	s.beacon(0, "p1", 1, true)
 	s.idle(time.Second)
 	acks := 0
-	s.on = func(core.Action) { acks += len(sent[*message.Acks](s)) }
+	s.onAction = func(core.Action) { acks += len(sent[*message.Acks](s)) }
 	status := func(seq uint64, holding uint32, missing ...model.NodeID) {
-		s.receive(s.last, "p1", &message.ZoneStatus{
+		s.receive(s.elapsed, "p1", &message.ZoneStatus{
 			Zone: "zone-0", Reader: "p3", Term: 1, Sequence: seq, Version: 1, Live: 4, Holding: holding, Missing: missing,
 		})
 	}
@@ -321,9 +329,9 @@
 	must.Eq(t, 0, acks)
 	status(2, 3, "self")
 	s.idle(time.Minute)
-	must.Between(t, 5, acks, 8) // after about 1, 2, 4, 8 and then each 16 s
+	must.Between(t, 5, acks, 8) // after about 1, 2, 4 and 8 s, then every 16 s
 	status(3, 4)
-	s.idle(80 * time.Second) // one may still be due
+	s.idle(80 * time.Second) // one retry may still be scheduled
 	acks = 0
 	s.idle(4 * time.Minute)
 	must.Eq(t, 0, acks)
@@ -331,18 +339,18 @@
 
 func TestUpstreamMovesToNextBest(t *testing.T) {
 	t.Parallel()
-	s := newSingle(t, DefaultConfig())
+	s := newSingleCore(t, DefaultConfig())
 	for _, id := range []model.NodeID{"p1", "p2", "p3"} {
-		s.up(0, id, snapshot.Ref{}, true, 0)
+		s.connectPeer(0, id, snapshot.Ref{}, true, 0)
 	}
 	for i, id := range []model.NodeID{"p2", "p1", "p3"} {
 		hops := uint8(3 - i)
 		s.receive(0, id, &message.Beacon{Zone: "zone-0", Reader: "far", Term: 2, Sequence: 5, Hops: hops})
-		must.Eq(t, 2*max(0, 1-i), len(sent[*message.Beacon](s)), must.Sprint("relayed once, not back"))
+		must.Eq(t, 2*max(0, 1-i), len(sent[*message.Beacon](s)), must.Sprint("must be relayed once, to all but the sender"))
 	}
 	s.receive(0, "p1", &message.Beacon{Zone: "zone-0", Reader: "lapsed", Term: 1, Sequence: 900})
 	s.step(0, core.PeerUp{Record: endpoint.Record{Node: "gateway", Zone: "zone-1"}})
-	s.receive(0, "gateway", &message.Beacon{Zone: "zone-0", Reader: "far", Term: 2, Sequence: 6}) // came round
+	s.receive(0, "gateway", &message.Beacon{Zone: "zone-0", Reader: "far", Term: 2, Sequence: 6}) // a beacon of the own zone that arrives through another zone
 	must.Eq(t, "p2", s.c.Status().Upstream)
 	must.Eq(t, "far", s.c.Status().Reader)
 	s.step(0, core.PeerDown{Node: "p2"})
@@ -352,57 +360,58 @@
 func TestDeltaMayStartFromAnEarlierVersion(t *testing.T) {
 	t.Parallel()
 	vs := versions(t, 3)
-	source, s := newSingle(t, DefaultConfig()), newSingle(t, DefaultConfig())
+	source, s := newSingleCore(t, DefaultConfig()), newSingleCore(t, DefaultConfig())
 	source.step(0, Loaded{Snapshot: vs[1]})
 	source.step(0, Loaded{Snapshot: vs[3]})
-	source.up(0, "self", vs[2].Ref(), true, 0)
+	source.connectPeer(0, "self", vs[2].Ref(), true, 0)
 	s.step(0, Loaded{Snapshot: vs[1]})
 	s.step(0, Loaded{Snapshot: vs[2]})
-	s.up(0, "p1", vs[3].Ref(), true, 0)
+	s.connectPeer(0, "p1", vs[3].Ref(), true, 0)
 	source.receive(0, "self", sent[*message.Fetch](s)[0])
 	s.receive(0, "p1", sent[*message.Delta](source)[0])
 	must.Eq(t, vs[3].Ref(), s.c.Held().Ref())
 }
 
-// TestReaderPrefersPeers also checks that a beacon promises no platform that
-// was not read lately.
+// TestReaderPrefersPeers checks that the reader loads a version from the
+// platform only when no peer offers it, and that PlatformOK is not set in a
+// beacon without a recent read of the platform.
 func TestReaderPrefersPeers(t *testing.T) {
 	t.Parallel()
 	vs := versions(t, 2)
-	s := newSingle(t, DefaultConfig())
-	asked := 0
+	s := newSingleCore(t, DefaultConfig())
+	loads := 0
 	var beacon *message.Beacon
-	s.on = func(a core.Action) {
+	s.onAction = func(a core.Action) {
 		if _, load := a.(LoadVersion); load {
-			asked++
+			loads++
 		}
 		if b := sent[*message.Beacon](s); len(b) > 0 {
 			beacon = b[0]
 		}
 	}
 	s.step(0, Loaded{Snapshot: vs[1]})
-	s.up(0, "p1", vs[2].Ref(), true, 0)
+	s.connectPeer(0, "p1", vs[2].Ref(), true, 0)
 	s.step(0, LeaseChanged{Held: true, Term: 1})
 	s.step(0, HeadRead{Ref: vs[2].Ref()})
-	must.Eq(t, 0, asked)
+	must.Eq(t, 0, loads)
 	s.idle(300 * time.Millisecond)
 	must.True(t, beacon.PlatformOK)
-	s.idle(3 * time.Second) // the next read hangs
+	s.idle(3 * time.Second) // the next read gets no answer
 	must.False(t, beacon.PlatformOK)
-	s.step(s.last, core.PeerDown{Node: "p1"})
-	must.Eq(t, 1, asked)
+	s.step(s.elapsed, core.PeerDown{Node: "p1"})
+	must.Eq(t, 1, loads)
 }
 
-func TestMemoryIsBounded(t *testing.T) {
+func TestHeldVersionsAreBounded(t *testing.T) {
 	t.Parallel()
 	cfg := DefaultConfig()
 	cfg.MaxRemembered = 10
-	m := newMemory(cfg)
+	m := newHeldVersions(cfg)
 	for k := range 30 {
-		m.heard(at(time.Duration(k)*time.Second), model.NodeKey(k), 5)
+		m.record(at(time.Duration(k)*time.Second), model.NodeKey(k), 5)
 	}
 	must.MapLen(t, 10, m.nodes)
-	m.heard(at(cfg.RememberFor), 29, 4)
+	m.record(at(cfg.RememberFor), 29, 4)
 	must.Eq(t, 5, m.version(29))
 	m.expire(at(cfg.RememberFor+time.Minute), nil)
 	must.MapLen(t, 1, m.nodes)
--- a/coordination/distribute/serve.go
+++ b/coordination/distribute/serve.go
@@ -9,33 +9,34 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// serving is the state of the whole versions sent to neighbours.
-type serving struct {
-	active  []*transfer
-	waiting []model.NodeID // in order of arrival
-	nextAt  time.Time      // when the first that waits may start
+// serveState is the state of sending whole versions to neighbours.
+type serveState struct {
+	active      []*transfer
+	queue       []model.NodeID // peers that wait for a transfer, in order of arrival
+	nextStartAt time.Time      // earliest start of the first queued transfer
 }
 
-// transfer is one whole version on its way to a neighbour.
+// transfer is one whole version that is being sent to a neighbour.
 type transfer struct {
-	to    model.NodeID
-	ref   snapshot.Ref
-	body  []byte
-	index uint32
-	count uint32
-	next  time.Time
+	to          model.NodeID
+	ref         snapshot.Ref
+	body        []byte
+	index       uint32 // of the next part
+	count       uint32 // of parts
+	nextPartsAt time.Time
 }
 
-func (s *serving) drop(id model.NodeID) {
+func (s *serveState) drop(id model.NodeID) {
 	s.active = slices.DeleteFunc(s.active, func(t *transfer) bool { return t.to == id })
-	s.waiting = slices.DeleteFunc(s.waiting, func(w model.NodeID) bool { return w == id })
+	s.queue = slices.DeleteFunc(s.queue, func(w model.NodeID) bool { return w == id })
 }
 
-// fetchReceived answers with a delta where a base is shared, else with the
-// whole version in parts once it is the peer's turn.
+// fetchReceived answers a Fetch with a delta if one starts from a version that
+// the peer holds, otherwise with the whole version in parts once it is the
+// peer's turn. If this node has no newer version, it answers with an advert.
 func (c *Core) fetchReceived(now time.Time, p *peer, m *message.Fetch) {
-	p.holds(m.Have)
-	c.memory.heard(now, p.id().Key(), m.Have.Version)
+	p.recordHeld(m.Have)
+	c.heldVersions.record(now, p.id().Key(), m.Have.Version)
 	c.raiseHead(now, m.Have)
 	if !c.held.Ref().Newer(m.Have) {
 		c.advertTo(p)
@@ -45,15 +46,15 @@
 		return
 	}
 	for _, version := range m.Recent {
-		if c.sendDelta(p, c.history.step(version)) {
+		if c.sendDelta(p, c.history.deltaBase(version)) {
 			return
 		}
 	}
 	c.queueFull(now, p.id())
 }
 
-// sendDelta sends the delta from a base and reports whether there is one that
-// fits into a message.
+// sendDelta sends the delta from a base and reports whether there is one of at
+// most Config.MaxDeltaBytes.
 func (c *Core) sendDelta(p *peer, base snapshot.Ref) bool {
 	b, err := c.history.delta(base)
 	if err != nil || b == nil || len(b) > c.cfg.MaxDeltaBytes {
@@ -63,10 +64,11 @@
 	return true
 }
 
-// queueFull lets a peer wait for its turn. A peer that is being served or
-// waits already keeps its place.
+// queueFull queues a peer for a transfer of the whole version, which starts at
+// once if there is free capacity. A peer that is queued or already being sent
+// this version keeps its place; a transfer of an older version to it ends.
 func (c *Core) queueFull(now time.Time, id model.NodeID) {
-	if slices.Contains(c.serve.waiting, id) {
+	if slices.Contains(c.serve.queue, id) {
 		return
 	}
 	for _, t := range c.serve.active {
@@ -75,44 +77,45 @@
 		}
 	}
 	c.serve.drop(id)
-	if len(c.serve.waiting) == 0 && len(c.serve.active) < c.cfg.MaxFull {
+	if len(c.serve.queue) == 0 && len(c.serve.active) < c.cfg.MaxFull {
 		c.startFull(now, id)
 		return
 	}
-	c.serve.waiting = append(c.serve.waiting, id)
+	c.serve.queue = append(c.serve.queue, id)
 }
 
 func (c *Core) startFull(now time.Time, id model.NodeID) {
-	body, err := c.history.whole(c.held)
+	body, err := c.history.encodedFull(c.held)
 	if err != nil {
 		return
 	}
 	count := (len(body) + c.cfg.PartBytes - 1) / c.cfg.PartBytes
-	t := &transfer{to: id, ref: c.held.Ref(), body: body, count: uint32(count), next: now}
+	t := &transfer{to: id, ref: c.held.Ref(), body: body, count: uint32(count), nextPartsAt: now}
 	c.serve.active = append(c.serve.active, t)
 }
 
-// serveTimer sends the parts that are due and starts the next transfers.
+// serveTimer starts queued transfers, sends the parts that are due and removes
+// completed transfers.
 func (c *Core) serveTimer(now time.Time) {
-	c.startWaiting(now)
+	c.startQueued(now)
 	for _, t := range c.serve.active {
-		if !now.Before(t.next) {
-			t.next = now.Add(c.cfg.PartPause)
+		if !now.Before(t.nextPartsAt) {
+			t.nextPartsAt = now.Add(c.cfg.PartPause)
 			c.sendParts(t)
 		}
 	}
 	before := len(c.serve.active)
 	c.serve.active = slices.DeleteFunc(c.serve.active, func(t *transfer) bool { return t.index == t.count })
 	if len(c.serve.active) < before {
-		c.serve.nextAt = now.Add(c.jitter(c.cfg.PartPause))
+		c.serve.nextStartAt = now.Add(c.jitter(c.cfg.PartPause))
 	}
 }
 
-func (c *Core) startWaiting(now time.Time) {
-	for len(c.serve.waiting) > 0 && len(c.serve.active) < c.cfg.MaxFull && !now.Before(c.serve.nextAt) {
-		id := c.serve.waiting[0]
-		c.serve.waiting = c.serve.waiting[1:]
-		// The peer may have got the version elsewhere while it waited.
+func (c *Core) startQueued(now time.Time) {
+	for len(c.serve.queue) > 0 && len(c.serve.active) < c.cfg.MaxFull && !now.Before(c.serve.nextStartAt) {
+		id := c.serve.queue[0]
+		c.serve.queue = c.serve.queue[1:]
+		// The peer may have received the version elsewhere while it was queued.
 		if p := c.peers[id]; p != nil && c.held.Ref().Newer(p.held) {
 			c.startFull(now, id)
 		}
--- a/coordination/distribute/upstream_test.go
+++ b/coordination/distribute/upstream_test.go
@@ -12,14 +12,15 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Two neighbours that are equally far from the reader deliver its beacons first
-// in turns. The way to the reader stays, until it is cut or becomes the longer.
-func TestUpstreamStaysWhileItIsAsGood(t *testing.T) {
+// Two neighbours with the same distance to the reader take turns in delivering
+// its beacons first. The upstream must not change with every beacon, only when
+// it stops delivering them or another path becomes shorter.
+func TestUpstreamStaysUntilARouteIsBetter(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1_700_000_000, 0)
 	c := New(DefaultConfig(), endpoint.Record{Node: "self", Zone: "csepel"}, 1)
-	ways := []model.NodeID{"left", "right"}
-	for _, id := range ways {
+	neighbours := []model.NodeID{"left", "right"}
+	for _, id := range neighbours {
 		c.Step(now, core.PeerUp{Record: endpoint.Record{Node: id, Zone: "csepel"}})
 	}
 	beacon := func(from model.NodeID, sequence uint64, hops uint8) {
@@ -28,15 +29,15 @@
 	}
 	for sequence := uint64(1); sequence < 10; sequence++ {
 		now = now.Add(time.Second)
-		first := ways[sequence%2]
+		first := neighbours[sequence%2]
 		beacon(first, sequence, 2)
-		beacon(ways[1-sequence%2], sequence, 2)
+		beacon(neighbours[1-sequence%2], sequence, 2)
 		must.Eq(t, "right", c.Status().Upstream)
 	}
 	beacon("left", 10, 1)
-	must.Eq(t, "left", c.Status().Upstream, must.Sprint("the shorter way"))
+	must.Eq(t, "left", c.Status().Upstream, must.Sprint("left has the shorter path"))
 	beacon("right", 11, 2)
-	must.Eq(t, "left", c.Status().Upstream, must.Sprint("it delivered the beacon before"))
+	must.Eq(t, "left", c.Status().Upstream, must.Sprint("left delivered the preceding beacon"))
 	beacon("right", 12, 2)
-	must.Eq(t, "right", c.Status().Upstream, must.Sprint("the other one is silent"))
+	must.Eq(t, "right", c.Status().Upstream, must.Sprint("left missed two beacons"))
 }
