--- a/coordination/distribute/accept.go
+++ b/coordination/distribute/accept.go
@@ -34,7 +34,7 @@
 	c.fetch.nextProbeAt = now.Add(c.jittered(c.cfg.ProbeInterval))
 	c.zone.markChanged(now)
 	if c.reader.headBeaconAt.IsZero() {
-		c.reader.headBeaconAt = now.Add(c.cfg.MergeInterval + c.cfg.HeadDelay)
+		c.reader.headBeaconAt = now.Add(c.cfg.MergeInterval + c.cfg.HeadBeaconDelay)
 	}
 }
 
--- a/coordination/distribute/beacon.go
+++ b/coordination/distribute/beacon.go
@@ -201,7 +201,7 @@
 		return true
 	}
 	if r.beaconPending {
-		return !now.Before(r.beaconAt.Add(c.cfg.HeadDelay))
+		return !now.Before(r.beaconAt.Add(c.cfg.HeadBeaconDelay))
 	}
 	return c.head.Newer(c.held.Ref()) && !r.headBeaconAt.IsZero() && !now.Before(r.headBeaconAt)
 }
--- a/coordination/distribute/config.go
+++ b/coordination/distribute/config.go
@@ -27,12 +27,12 @@
 
 	// BeaconInterval is the time between two beacons while nothing changes.
 	BeaconInterval time.Duration
-	// HeadDelay is how long the reader waits for the body of a new head,
+	// HeadBeaconDelay is how long the reader waits for the body of a new head,
 	// beyond the MergeInterval that may delay the fetch, before it sends a beacon
 	// with a head that it does not hold. If the body arrives earlier, an advert
-	// announces the version instead. HeadDelay is also the shortest time
+	// announces the version instead. HeadBeaconDelay is also the shortest time
 	// between two beacons.
-	HeadDelay time.Duration
+	HeadBeaconDelay time.Duration
 	// MaxHops bounds the number of nodes that relay one beacon.
 	MaxHops uint8
 	// AdvertRefresh is the time between two repeated adverts, each of which goes
@@ -61,19 +61,20 @@
 	// KeepDeltas is the number of earlier held versions from which a delta can be
 	// served.
 	KeepDeltas int
-	// KeepRecent is the number of earlier snapshots kept as bases for received
+	// KeepSnapshots is the number of earlier snapshots kept as bases for received
 	// deltas.
-	KeepRecent int
-	// RecentFor is how long an earlier snapshot is kept.
-	RecentFor time.Duration
+	KeepSnapshots int
+	// KeepSnapshotsFor is how long an earlier snapshot is kept.
+	KeepSnapshotsFor time.Duration
 	// MaxDeltaBytes is the size of the largest encoded delta that is served. In
 	// place of a larger one, the whole version is sent in parts.
 	MaxDeltaBytes int
 	// PartBytes is the size of one part of a whole version. Small parts let urgent
 	// messages pass between them.
 	PartBytes int
-	// MaxFull bounds the transfers of whole versions that run at one time.
-	MaxFull int
+	// MaxFullTransfers bounds the transfers of whole versions that run at one
+	// time.
+	MaxFullTransfers int
 	// PartsPerStep is the number of parts of one transfer that are sent in each
 	// batch.
 	PartsPerStep int
@@ -97,11 +98,11 @@
 	// StatusBeacons is the number of beacons after which the status is repeated
 	// even if it has not changed.
 	StatusBeacons int
-	// BorderDelay is the shortest delay before a node passes the status of
+	// CrossZoneDelay is the shortest delay before a node passes the status of
 	// another zone on to a third zone, which usually receives it from the
 	// originating zone directly. A random delay of up to the same length is added,
 	// so that one of several nodes sends the status before the others.
-	BorderDelay time.Duration
+	CrossZoneDelay time.Duration
 
 	// JoinQuorum is the number of ready peers that must have sent the version that
 	// they remember a freshly started node to have held, before that node becomes
@@ -139,42 +140,42 @@
 // DefaultConfig returns the settings for a fleet of the design size.
 func DefaultConfig() Config {
 	return Config{
-		PollInterval:    500 * time.Millisecond,
-		MaxPollInterval: 8 * time.Second,
-		ReadTimeout:     3 * time.Second,
-		LoadTimeout:     5 * time.Second,
-		LoadRetry:       200 * time.Millisecond,
-		BeaconInterval:  2 * time.Second,
-		HeadDelay:       200 * time.Millisecond,
-		MaxHops:         24,
-		AdvertRefresh:   10 * time.Second,
-		MergeInterval:   50 * time.Millisecond,
-		FetchTimeout:    time.Second,
-		FullTimeout:     3 * time.Second,
-		ProbeInterval:   time.Second,
-		RefuseFor:       30 * time.Second,
-		KeepDeltas:      32,
-		KeepRecent:      3,
-		RecentFor:       20 * time.Second,
-		MaxDeltaBytes:   128 << 10,
-		PartBytes:       32 << 10,
-		MaxFull:         2,
-		PartsPerStep:    8,
-		PartPause:       100 * time.Millisecond,
-		AckDelay:        50 * time.Millisecond,
-		AckRetry:        time.Second,
-		MaxAckRetry:     16 * time.Second,
-		StatusDelay:     2 * time.Second,
-		StatusInterval:  time.Second,
-		StatusBeacons:   5,
-		BorderDelay:     500 * time.Millisecond,
-		JoinQuorum:      2,
-		JoinSettle:      300 * time.Millisecond,
-		JoinTimeout:     10 * time.Second,
-		JoinReadDelay:   time.Second,
-		JoinReadSpacing: 50 * time.Millisecond,
-		MaxJoinRead:     30 * time.Second,
-		RememberFor:     time.Hour,
-		MaxRemembered:   8192,
+		PollInterval:     500 * time.Millisecond,
+		MaxPollInterval:  8 * time.Second,
+		ReadTimeout:      3 * time.Second,
+		LoadTimeout:      5 * time.Second,
+		LoadRetry:        200 * time.Millisecond,
+		BeaconInterval:   2 * time.Second,
+		HeadBeaconDelay:  200 * time.Millisecond,
+		MaxHops:          24,
+		AdvertRefresh:    10 * time.Second,
+		MergeInterval:    50 * time.Millisecond,
+		FetchTimeout:     time.Second,
+		FullTimeout:      3 * time.Second,
+		ProbeInterval:    time.Second,
+		RefuseFor:        30 * time.Second,
+		KeepDeltas:       32,
+		KeepSnapshots:    3,
+		KeepSnapshotsFor: 20 * time.Second,
+		MaxDeltaBytes:    128 << 10,
+		PartBytes:        32 << 10,
+		MaxFullTransfers: 2,
+		PartsPerStep:     8,
+		PartPause:        100 * time.Millisecond,
+		AckDelay:         50 * time.Millisecond,
+		AckRetry:         time.Second,
+		MaxAckRetry:      16 * time.Second,
+		StatusDelay:      2 * time.Second,
+		StatusInterval:   time.Second,
+		StatusBeacons:    5,
+		CrossZoneDelay:   500 * time.Millisecond,
+		JoinQuorum:       2,
+		JoinSettle:       300 * time.Millisecond,
+		JoinTimeout:      10 * time.Second,
+		JoinReadDelay:    time.Second,
+		JoinReadSpacing:  50 * time.Millisecond,
+		MaxJoinRead:      30 * time.Second,
+		RememberFor:      time.Hour,
+		MaxRemembered:    8192,
 	}
 }
--- a/coordination/distribute/distribute.go
+++ b/coordination/distribute/distribute.go
@@ -156,7 +156,7 @@
 			delete(c.refusedUntil, r)
 		}
 	}
-	c.history.expire(now, c.cfg.RecentFor)
+	c.history.expire(now, c.cfg.KeepSnapshotsFor)
 	c.heldVersions.expire(now, c.peers)
 }
 
--- a/coordination/distribute/history.go
+++ b/coordination/distribute/history.go
@@ -34,7 +34,7 @@
 		h.steps = h.steps[n:]
 	}
 	h.recent = append(h.recent, replacedSnapshot{snapshot: from, replacedAt: now})
-	if n := len(h.recent) - cfg.KeepRecent; n > 0 {
+	if n := len(h.recent) - cfg.KeepSnapshots; n > 0 {
 		h.recent = h.recent[n:]
 	}
 }
--- a/coordination/distribute/relay.go
+++ b/coordination/distribute/relay.go
@@ -54,7 +54,7 @@
 		case !c.sameZone(p) && m.Zone == c.self.Zone:
 			c.sendStatus(p, m)
 		case !c.sameZone(p) && c.crossZoneRelays[m.Zone].IsZero():
-			c.crossZoneRelays[m.Zone] = now.Add(c.cfg.BorderDelay + c.jitter(c.cfg.BorderDelay))
+			c.crossZoneRelays[m.Zone] = now.Add(c.cfg.CrossZoneDelay + c.jitter(c.cfg.CrossZoneDelay))
 		}
 	}
 }
--- a/coordination/distribute/rules_test.go
+++ b/coordination/distribute/rules_test.go
@@ -263,7 +263,7 @@
 		m := send.Message.(*message.Full)
 		must.Eq(t, next[send.To], m.Index)
 		next[send.To]++
-		must.LessEq(t, cfg.MaxFull, len(next))
+		must.LessEq(t, cfg.MaxFullTransfers, len(next))
 		if next[send.To] == m.Count {
 			delete(next, send.To)
 			done++
--- a/coordination/distribute/serve.go
+++ b/coordination/distribute/serve.go
@@ -77,7 +77,7 @@
 		}
 	}
 	c.serve.drop(id)
-	if len(c.serve.queue) == 0 && len(c.serve.active) < c.cfg.MaxFull {
+	if len(c.serve.queue) == 0 && len(c.serve.active) < c.cfg.MaxFullTransfers {
 		c.startFull(now, id)
 		return
 	}
@@ -112,7 +112,7 @@
 }
 
 func (c *Core) startQueued(now time.Time) {
-	for len(c.serve.queue) > 0 && len(c.serve.active) < c.cfg.MaxFull && !now.Before(c.serve.nextStartAt) {
+	for len(c.serve.queue) > 0 && len(c.serve.active) < c.cfg.MaxFullTransfers && !now.Before(c.serve.nextStartAt) {
 		id := c.serve.queue[0]
 		c.serve.queue = c.serve.queue[1:]
 		// The peer may have received the version elsewhere while it was queued.
