--- a/coordination/distribute/network_test.go
+++ b/coordination/distribute/network_test.go
@@ -52,6 +52,7 @@
 
 type link [2]int // indexes into network.nodes, the lower one first
 
+// node is one simulated node, in its present incarnation.
 type node struct {
 	id                model.NodeID
 	zone              model.Zone
@@ -69,6 +70,7 @@
 	swappedAt         map[uint64]time.Time // when it swapped to each version; nil: not recorded
 }
 
+// event is an input to one incarnation of a node, due at a time.
 type event struct {
 	at          time.Time
 	sequence    int // order of events that have the same time
@@ -171,6 +173,7 @@
 	}
 }
 
+// push queues an event for a node, due after a delay.
 func (n *network) push(after time.Duration, i int, ev core.Event) {
 	n.queue.pushed++
 	heap.Push(&n.queue, event{at: n.now.Add(after), sequence: n.queue.pushed, node: i, incarnation: n.nodes[i].incarnation, ev: ev})
@@ -315,6 +318,7 @@
 	}
 }
 
+// errDown is the error of every read while the platform is down.
 type errDown struct{}
 
 func (errDown) Error() string { return "platform is down" }
@@ -326,6 +330,8 @@
 	return errDown{}
 }
 
+// deliver passes a message on over its link, which may be cut or faulty, and
+// counts it.
 func (n *network) deliver(from int, s core.Send) {
 	to := n.index[s.To]
 	kind := s.Message.Kind()
