--- a/coordination/balance/done.go
+++ b/coordination/balance/done.go
@@ -13,14 +13,14 @@
 
 // The outcomes of a request.
 const (
-	// OK is a complete answer.
+	// OK is a complete response.
 	OK Outcome = iota
-	// Failed is a broken connection, a timeout or an answer that indicates a fault of
+	// Failed is a broken connection, a timeout or a response that indicates a fault of
 	// the server.
 	Failed
 	// NotRun is a refusal by the server or its gate. If the load report shows all slots
 	// in use, the refusal is due to overload. Otherwise it counts as a failure: the gate
-	// did not answer, is draining, or reports a wrong load.
+	// did not respond, is draining, or reports a wrong load.
 	NotRun
 	// Cancelled is a request that the caller gave up, or that was refused for a reason
 	// of its own such as its deadline. It implies nothing about the server.
@@ -33,7 +33,7 @@
 // Result is the result of a request, from which the picker updates its statistics of the
 // server.
 type Result struct {
-	// Latency is the time from sending the request to the first byte of the answer.
+	// Latency is the time from sending the request to the first byte of the response.
 	Latency time.Duration
 	// Outcome is how the request ended.
 	Outcome Outcome
@@ -42,11 +42,11 @@
 	// Work is the request's workload. The latencies of servers are compared only within
 	// the same workload.
 	Work model.Work
-	// MeanLatency is the mean time that requests of this workload take at the server, as
-	// reported by its gate; 0 without a report. Where it is given it replaces Latency, the
-	// value of a single request: with many servers, a node sends too few requests to each
-	// of them for an average of its own.
-	MeanLatency time.Duration
+	// MeanServiceTime is the mean service time of this workload at the server, as reported
+	// by its gate; 0 without a report. Where it is given it replaces Latency, the value of a
+	// single request: with many servers, a node sends too few requests to each of them for
+	// an average of its own.
+	MeanServiceTime time.Duration
 }
 
 // Done ends the request and updates the statistics of its server and zone. It must be
@@ -92,7 +92,7 @@
 	}
 }
 
-// recordSuccess records a complete answer, which ends an ejection if the request was the
+// recordSuccess records a complete response, which ends an ejection if the request was the
 // trial.
 func (c Choice) recordSuccess(r *Result, at int64) {
 	cfg, s := &c.picker.cfg, c.server
@@ -126,8 +126,8 @@
 	s, g := c.server, c.group.stats.latency.Of(r.Work)
 	n := s.latencyCount.Load()
 	took, gain := r.Latency, max(c.picker.cfg.LatencyGain, 1/float64(n+1+priorLatencies))
-	if r.MeanLatency > 0 {
-		took, gain = r.MeanLatency, reportedGain
+	if r.MeanServiceTime > 0 {
+		took, gain = r.MeanServiceTime, reportedGain
 	}
 	v := math.Log2(float64(max(took, 1)))
 	if g.seen.CompareAndSwap(false, true) {
--- a/coordination/balance/fastset.go
+++ b/coordination/balance/fastset.go
@@ -13,7 +13,7 @@
 	totalDraws   = 4
 )
 
-// fastSet is a bounded set of members of one tier that have recently answered faster than
+// fastSet is a bounded set of members of one tier that have recently responded faster than
 // the group's mean. It exists because a node sends too few requests to measure each of many
 // servers, so that two random draws would mostly compare servers without data. Its fields
 // are atomic.
--- a/coordination/balance/group.go
+++ b/coordination/balance/group.go
@@ -57,7 +57,7 @@
 	return g.size == 0 || g.source == &candidates[0]
 }
 
-// defaultLatency is the mean latency assumed before the first answer. It lies in the middle
+// defaultLatency is the mean latency assumed before the first response. It lies in the middle
 // of the range of the services in deployments, 30 to 480 ms.
 const defaultLatency = 100 * time.Millisecond
 
--- a/coordination/balance/load.go
+++ b/coordination/balance/load.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Load is the load of a backend server as its gate reports it with each answer.
+// Load is the load of a backend server as its gate reports it with each response.
 type Load struct {
 	// Used is the number of slots in use.
 	Used int
@@ -14,15 +14,15 @@
 	Slots int
 	// Queued is the number of requests that wait for a slot.
 	Queued int
-	// SlotTime is the mean time that a request holds a slot; 0 if not known.
-	SlotTime time.Duration
+	// MeanServiceTime is the mean time for which a request holds a slot; 0 if not known.
+	MeanServiceTime time.Duration
 	// Slowdown is the factor by which work currently takes longer than usual on the
 	// server's host; 0 if it takes as long as usual or the factor is not known.
 	Slowdown float64
 }
 
-// maxLoadField bounds the numbers of a report except SlotTime; a report with a larger one is
-// refused.
+// maxLoadField bounds the numbers of a report except the mean service time; a report with a
+// larger one is refused.
 const maxLoadField = 1 << 20
 
 // normalPercent is the reported slowdown, in percent, of a host on which work takes as long
@@ -30,24 +30,24 @@
 const normalPercent = 100
 
 // ParseLoad parses the value of the load header: "used/slots/queued",
-// "used/slots/queued/work" or "used/slots/queued/work/slowdown". The work is the SlotTime in
-// microseconds, and above 0 unless a slowdown follows. The slowdown is in percent and above 0.
-// ParseLoad returns a *LoadError for anything else.
+// "used/slots/queued/work" or "used/slots/queued/work/slowdown". The work is the mean service
+// time in microseconds, and above 0 unless a slowdown follows. The slowdown is in percent and
+// above 0. ParseLoad returns a *LoadError for anything else.
 func ParseLoad(s string) (Load, error) {
 	used, rest, _ := strings.Cut(s, "/")
 	slots, rest, _ := strings.Cut(rest, "/")
-	queued, rest, hasSlotTime := strings.Cut(rest, "/")
-	slotTime, slowdown, hasSlowdown := strings.Cut(rest, "/")
+	queued, rest, hasServiceTime := strings.Cut(rest, "/")
+	serviceTime, slowdown, hasSlowdown := strings.Cut(rest, "/")
 	l := Load{Used: parseField(used), Slots: parseField(slots), Queued: parseField(queued)}
 	if l.Used < 0 || l.Slots < 1 || l.Queued < 0 {
 		return Load{}, &LoadError{Found: s}
 	}
-	if hasSlotTime {
-		micros, err := strconv.ParseUint(slotTime, 10, 32)
+	if hasServiceTime {
+		micros, err := strconv.ParseUint(serviceTime, 10, 32)
 		if err != nil || micros == 0 && !hasSlowdown {
 			return Load{}, &LoadError{Found: s}
 		}
-		l.SlotTime = time.Duration(micros) * time.Microsecond
+		l.MeanServiceTime = time.Duration(micros) * time.Microsecond
 	}
 	if hasSlowdown {
 		percent := parseField(slowdown)
@@ -79,9 +79,9 @@
 	text = strconv.AppendInt(text, int64(l.Queued), 10)
 	percent := int64(l.Slowdown*normalPercent + 0.5)
 	hasSlowdown := percent > 0 && percent != normalPercent
-	if l.SlotTime > 0 || hasSlowdown {
+	if l.MeanServiceTime > 0 || hasSlowdown {
 		text = append(text, '/')
-		text = strconv.AppendInt(text, l.SlotTime.Microseconds(), 10)
+		text = strconv.AppendInt(text, l.MeanServiceTime.Microseconds(), 10)
 	}
 	if hasSlowdown {
 		text = append(text, '/')
--- a/coordination/balance/load_test.go
+++ b/coordination/balance/load_test.go
@@ -12,8 +12,8 @@
 func TestLoadEncodesTheHostSlowdown(t *testing.T) {
 	for text, l := range map[string]Load{
 		"3/10/2":         {Used: 3, Slots: 10, Queued: 2},
-		"3/10/2/1500":    {Used: 3, Slots: 10, Queued: 2, SlotTime: 1500 * time.Microsecond},
-		"3/10/2/1500/85": {Used: 3, Slots: 10, Queued: 2, SlotTime: 1500 * time.Microsecond, Slowdown: 0.85},
+		"3/10/2/1500":    {Used: 3, Slots: 10, Queued: 2, MeanServiceTime: 1500 * time.Microsecond},
+		"3/10/2/1500/85": {Used: 3, Slots: 10, Queued: 2, MeanServiceTime: 1500 * time.Microsecond, Slowdown: 0.85},
 		"3/10/2/0/250":   {Used: 3, Slots: 10, Queued: 2, Slowdown: 2.5},
 	} {
 		must.Eq(t, text, l.String())
--- a/coordination/balance/many_test.go
+++ b/coordination/balance/many_test.go
@@ -41,7 +41,7 @@
 }
 
 func (s *manyServer) load() *Load {
-	return &Load{Used: s.busy, Slots: manySlots, Queued: len(s.queue), SlotTime: s.typical}
+	return &Load{Used: s.busy, Slots: manySlots, Queued: len(s.queue), MeanServiceTime: s.typical}
 }
 
 // manyModel is the state of the simulation.
@@ -89,7 +89,7 @@
 	s := w.servers[i]
 	reply := func() {
 		took := w.now - began
-		c.Done(at(w.now), Result{Outcome: OK, Latency: took, Load: s.load(), Work: kind, MeanLatency: s.typical})
+		c.Done(at(w.now), Result{Outcome: OK, Latency: took, Load: s.load(), Work: kind, MeanServiceTime: s.typical})
 		if began < manyWarmup {
 			return
 		}
@@ -107,7 +107,7 @@
 }
 
 // runMany simulates a load, given as a fraction of the capacity. It returns the fraction of
-// answers that are late and the number of backend servers that got no request.
+// responses that are late and the number of backend servers that got no request.
 func runMany(t *testing.T, seed uint64, load float64) (late float64, unused int) {
 	w := &manyModel{rand: rand.New(rand.NewPCG(seed, 9))}
 	service := &model.Service{Name: "s", MaxEjected: 0.5}
--- a/coordination/balance/picker.go
+++ b/coordination/balance/picker.go
@@ -198,10 +198,10 @@
 func (p *Picker) completionTime(g *group, m *member, load float64, opts PickOptions, slow float64, at int64) float64 {
 	slots := m.server.slotsOr(m.slots)
 	latency := float64(g.meanLatency(opts.Work)) * slow
-	slotTime := float64(m.server.slotTimeOr(g.meanLatency(opts.Work))) * m.server.slowdown(&p.cfg, at)
+	serviceTime := float64(m.server.serviceTimeOr(g.meanLatency(opts.Work))) * m.server.slowdown(&p.cfg, at)
 	waiting := max(0, load*slots+1-slots)
 	allInUse := math.Pow(min(load+1/slots, 1), queueExponent)
-	return latency*(1+allInUse) + waiting/slots*slotTime
+	return latency*(1+allInUse) + waiting/slots*serviceTime
 }
 
 // queueExponent determines how steeply the expected wait rises with the load before all
@@ -216,8 +216,8 @@
 	s := m.server
 	slots := s.slotsOr(m.slots)
 	waiting := max(0, load*slots+1-slots)
-	slotTime := float64(s.slotTimeOr(g.meanLatency(opts.Work))) * s.slowdown(&p.cfg, at)
-	return time.Duration(waiting / slots * slotTime)
+	serviceTime := float64(s.serviceTimeOr(g.meanLatency(opts.Work))) * s.slowdown(&p.cfg, at)
+	return time.Duration(waiting / slots * serviceTime)
 }
 
 // drawFast returns a usable, recently fast member other than a. It returns nil if the one
--- a/coordination/balance/picker_test.go
+++ b/coordination/balance/picker_test.go
@@ -272,7 +272,7 @@
 				}
 				r := Result{Outcome: OK, Work: model.WorkOf(model.KindInteractive), Latency: time.Duration(float64(mean) * math.Exp(rng.NormFloat64()))}
 				if typical {
-					r.MeanLatency = mean
+					r.MeanServiceTime = mean
 				}
 				c.Done(start, r)
 			}
--- a/coordination/balance/policy_test.go
+++ b/coordination/balance/policy_test.go
@@ -62,7 +62,7 @@
 	busy, maxQueue int
 	queue          []func()
 	// A dead backend server refuses requests without a load report, one that misreports
-	// always reports that it is idle, and one that fails answers with failures.
+	// always reports that it is idle, and one that fails responds with failures.
 	dead, misreports, fails bool
 }
 
@@ -76,7 +76,7 @@
 	records  []endpoint.Record
 	service  *model.Service
 
-	latencies            []float64 // of answers, in milliseconds
+	latencies            []float64 // of responses, in milliseconds
 	offered, useful, far int
 }
 
@@ -162,8 +162,8 @@
 }
 
 // figures are the results of a run: the 99th percentile of the latencies in milliseconds, the
-// fraction of requests that failed or were refused, the answers within the deadline as a fraction of
-// the capacity, and the fraction of requests sent to another zone.
+// fraction of requests that failed or were refused, the responses within the deadline as a
+// fraction of the capacity, and the fraction of requests sent to another zone.
 type figures struct{ p99, errors, useful, far float64 }
 
 // run simulates a load, given as a fraction of the capacity. make returns the policy of an
--- a/coordination/balance/region_test.go
+++ b/coordination/balance/region_test.go
@@ -52,7 +52,7 @@
 		for region, leaves := range map[model.Region]bool{"r1": true, "r2": crossesRegion} {
 			p, s, rs := newPicker(), service(0.5), records(2)
 			rs[1].Zone, rs[1].Region = "z2", region
-			full := Load{Used: 10, Slots: 10, Queued: 1, SlotTime: 10 * wait}
+			full := Load{Used: 10, Slots: 10, Queued: 1, MeanServiceTime: 10 * wait}
 			c, ok := p.PickNode(start, s, rs, "a", nil)
 			must.True(t, ok)
 			c.Done(start, Result{Outcome: OK, Latency: time.Millisecond, Load: &full})
--- a/coordination/balance/server.go
+++ b/coordination/balance/server.go
@@ -26,7 +26,7 @@
 
 	otherLoad    atomic.Uint64 // float64: reported load, less this node's own requests
 	slots        atomic.Int64  // reported slots; 0 when not known
-	slotTime     atomic.Int64  // reported mean time that a request holds a slot; 0 when not known
+	serviceTime  atomic.Int64  // reported mean time that a request holds a slot; 0 when not known
 	reportedAt   atomic.Int64  // time of the latest load report
 	hostSlowdown atomic.Uint64 // float64: reported slowdown of the host; 0 when not known
 
@@ -69,10 +69,10 @@
 	return float64(fallback)
 }
 
-// slotTimeOr returns the reported mean time that a request holds a slot, or the fallback if
+// serviceTimeOr returns the reported mean time that a request holds a slot, or the fallback if
 // there is no report.
-func (s *server) slotTimeOr(fallback time.Duration) time.Duration {
-	if d := s.slotTime.Load(); d > 0 {
+func (s *server) serviceTimeOr(fallback time.Duration) time.Duration {
+	if d := s.serviceTime.Load(); d > 0 {
 		return time.Duration(d)
 	}
 	return fallback
@@ -123,7 +123,7 @@
 func (s *server) applyReport(l Load, inFlight int64, at int64) {
 	storeFloat(&s.otherLoad, max(0, float64(int64(l.Used+l.Queued)-inFlight)))
 	s.slots.Store(int64(l.Slots))
-	s.slotTime.Store(int64(l.SlotTime))
+	s.serviceTime.Store(int64(l.MeanServiceTime))
 	storeFloat(&s.hostSlowdown, l.Slowdown)
 	s.reportedAt.Store(at)
 }
--- a/coordination/balance/uneven_test.go
+++ b/coordination/balance/uneven_test.go
@@ -34,10 +34,10 @@
 type unevenVariant struct {
 	name string
 	// With reportsSlowdown the gates are given the slowdown of their hosts and report it.
-	// With mayRedirect they may also refuse a request because of it, so that it is sent to
+	// With mayReroute they may also refuse a request because of it, so that it is sent to
 	// another server.
-	reportsSlowdown, mayRedirect bool
-	change                       func(*Config)
+	reportsSlowdown, mayReroute bool
+	change                      func(*Config)
 }
 
 // uneven is one simulation with its counters.
@@ -53,7 +53,7 @@
 	service *model.Service
 	began   time.Time
 
-	total, inTime, late, refused, redirected atomic.Int64
+	total, inTime, late, refused, rerouted atomic.Int64
 }
 
 var unevenWork = model.Work{Kind: model.KindInteractive, Rank: 1, Target: unevenTarget}
@@ -85,9 +85,9 @@
 	return float64(u.inTime.Load()) / float64(u.total.Load())
 }
 
-// request sends one request, to up to maxExcluded gates until one of them answers.
+// request sends one request to up to maxExcluded gates, until one of them accepts it.
 func (u *uneven) request(p *Picker, size float64) {
-	began, answered, redirected := time.Now(), false, false
+	began, answered, rerouted := time.Now(), false, false
 	var tried Exclusions
 	for range maxExcluded {
 		c, err := p.PickFor(time.Now(), u.service, u.records, &tried, PickOptions{Work: unevenWork})
@@ -95,15 +95,15 @@
 			break
 		}
 		sent := time.Now()
-		r, reason := u.send(int(c.Record.Node[0]-'a'), size, began, u.mayRedirect && !redirected)
+		r, reason := u.send(int(c.Record.Node[0]-'a'), size, began, u.mayReroute && !rerouted)
 		r.Latency = time.Since(sent)
 		c.Done(time.Now(), r)
 		if answered = reason == ""; answered {
 			break
 		}
 		if reason == outcome.ReasonHostSlow {
-			u.redirected.Add(1)
-			redirected = true
+			u.rerouted.Add(1)
+			rerouted = true
 			continue
 		}
 		tried.Add(c.Record.Node)
@@ -123,14 +123,14 @@
 }
 
 // send sends a request to a gate and returns the result, with the reason if the gate refused
-// the request. elsewhere allows the gate to refuse it because the host is slow.
-func (u *uneven) send(server int, size float64, began time.Time, elsewhere bool) (Result, outcome.Reason) {
+// the request. reroutable allows the gate to refuse it because the host is slow.
+func (u *uneven) send(server int, size float64, began time.Time, reroutable bool) (Result, outcome.Reason) {
 	time.Sleep(unevenTrip)
 	defer time.Sleep(unevenTrip)
 	g, deadline := u.gates[server], began.Add(4*unevenTarget)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	reason := g.Enter(ctx, gate.Request{Work: unevenWork, Deadline: deadline, Due: began.Add(unevenTarget), Reroutable: elsewhere}, time.Now)
+	reason := g.Enter(ctx, gate.Request{Work: unevenWork, Deadline: deadline, Due: began.Add(unevenTarget), Reroutable: reroutable}, time.Now)
 	if reason != "" {
 		return Result{Outcome: Cancelled, Load: u.report(g)}, reason
 	}
@@ -141,7 +141,7 @@
 		g.ReportSlowness(u.slowness(server)/speed, time.Now())
 	}
 	g.ReleaseSlowed(unevenWork, took, known, time.Now())
-	return Result{Outcome: OK, Load: u.report(g), Work: unevenWork, MeanLatency: g.Typical(unevenWork)}, ""
+	return Result{Outcome: OK, Load: u.report(g), Work: unevenWork, MeanServiceTime: g.Typical(unevenWork)}, ""
 }
 
 // slowness returns the current slowdown of a server's host.
@@ -155,7 +155,7 @@
 // report returns a gate's load as an entry node parses it from the header.
 func (u *uneven) report(g *gate.Gate) *Load {
 	l := g.Load()
-	load := Load{Used: l.Used, Slots: l.Slots, Queued: l.Queued, SlotTime: g.MeanServiceTime(), Slowdown: g.Slowdown(time.Now())}
+	load := Load{Used: l.Used, Slots: l.Slots, Queued: l.Queued, MeanServiceTime: g.MeanServiceTime(), Slowdown: g.Slowdown(time.Now())}
 	parsed, err := ParseLoad(load.String())
 	if err != nil {
 		panic(err)
@@ -224,7 +224,7 @@
 		must.NoError(t, errB)
 		must.Eq(t, ca.Record.Node, cb.Record.Node)
 		r := Result{Outcome: OK, Latency: time.Duration(rnd.IntN(200)+1) * time.Millisecond, Load: &Load{
-			Used: rnd.IntN(11), Slots: 10, Queued: rnd.IntN(5), SlotTime: 80 * time.Millisecond,
+			Used: rnd.IntN(11), Slots: 10, Queued: rnd.IntN(5), MeanServiceTime: 80 * time.Millisecond,
 		}}
 		ca.Done(now, r)
 		cb.Done(now, r)
@@ -239,11 +239,11 @@
 		for _, r := range rs {
 			c, ok := p.PickNode(now, s, rs, r.Node, nil)
 			must.True(t, ok)
-			l := &Load{Used: 3, Slots: 10, SlotTime: 100 * time.Millisecond}
+			l := &Load{Used: 3, Slots: 10, MeanServiceTime: 100 * time.Millisecond}
 			if r.Node == "a" {
 				l.Slowdown = slowdown
 			}
-			c.Done(now, Result{Outcome: OK, Load: l, Latency: 100 * time.Millisecond, MeanLatency: 100 * time.Millisecond})
+			c.Done(now, Result{Outcome: OK, Load: l, Latency: 100 * time.Millisecond, MeanServiceTime: 100 * time.Millisecond})
 		}
 	}
 	report(start, 2.5)
--- a/coordination/balance/want_test.go
+++ b/coordination/balance/want_test.go
@@ -27,8 +27,8 @@
 		}
 		c, ok := p.PickNode(start, s, rs, id, nil)
 		must.True(t, ok)
-		c.Done(start, Result{Outcome: OK, Latency: took, MeanLatency: took, Work: work,
-			Load: &Load{Used: 4, Slots: 10, SlotTime: 100 * time.Millisecond}})
+		c.Done(start, Result{Outcome: OK, Latency: took, MeanServiceTime: took, Work: work,
+			Load: &Load{Used: 4, Slots: 10, MeanServiceTime: 100 * time.Millisecond}})
 	}
 	return func(w PickOptions) Choice {
 		c, err := p.PickFor(start, s, rs, nil, w)
--- a/coordination/balance/zone.go
+++ b/coordination/balance/zone.go
@@ -31,7 +31,7 @@
 	return s.(*zoneState)
 }
 
-// recordReached records that a host of the zone has answered, and marks the zone as
+// recordReached records that a host of the zone has responded, and marks the zone as
 // reachable.
 func (s *zoneState) recordReached() {
 	if s.unreachable.Load() == 0 && s.nextTrial.Load() == 0 {
--- a/coordination/balance/zone_test.go
+++ b/coordination/balance/zone_test.go
@@ -47,7 +47,7 @@
 		c.Done(at(now), Result{Outcome: Unreachable})
 	}
 	must.Between(t, 8, sent, 10)
-	// Any answer from a host of the zone makes it reachable again.
+	// Any response of a host of the zone makes it reachable again.
 	c, err := pick(4 * time.Second)
 	must.NoError(t, err)
 	c.Done(at(4*time.Second), Result{Outcome: NotRun, Load: &Load{Used: 1, Slots: 10}})
@@ -60,7 +60,7 @@
 }
 
 // A zone doesn't become unreachable through a single host that is down, nor through failures
-// of several hosts between which others answer.
+// of several hosts between which others respond.
 func TestSingleHostFailureLeavesItsZoneReachable(t *testing.T) {
 	p := newPicker()
 	zone := p.zones.get("z2")
--- a/transport/inbound/answer.go
+++ b/transport/inbound/answer.go
@@ -51,7 +51,7 @@
 // stamp tells the load with every answer.
 func (g *Gate) stamp(h http.Header) {
 	l := g.core.Load()
-	told := balance.Load{Used: l.Used, Slots: max(1, l.Slots), Queued: l.Queued, SlotTime: g.core.MeanServiceTime(), Slowdown: g.slowdown()}
+	told := balance.Load{Used: l.Used, Slots: max(1, l.Slots), Queued: l.Queued, MeanServiceTime: g.core.MeanServiceTime(), Slowdown: g.slowdown()}
 	h[outcome.HeaderLoad] = []string{told.String()}
 	if s := g.cfg.Strain(g.cfg.Now()); s > 0 {
 		h[outcome.HeaderStrain] = []string{strconv.Itoa(s.Percent())}
--- a/transport/outbound/take.go
+++ b/transport/outbound/take.go
@@ -13,7 +13,7 @@
 func (x *exchange) take(choice balance.Choice, resp *http.Response, took time.Duration) bool {
 	h := resp.Header
 	x.noteStrain(h)
-	result := balance.Result{Latency: took, Work: x.work(), MeanLatency: typical(h)}
+	result := balance.Result{Latency: took, Work: x.work(), MeanServiceTime: typical(h)}
 	if l, err := balance.ParseLoad(h.Get(outcome.HeaderLoad)); err == nil {
 		result.Load = &l
 	}
