--- a/coordination/freshness/core.go
+++ b/coordination/freshness/core.go
@@ -10,64 +10,68 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// maxWaiting bounds the proofs of versions that are not in force yet. Versions that follow
-// each other quickly are skipped, so that few wait.
-const maxWaiting = 8
+// maxPending bounds the proofs of versions that are not in force yet. Few are pending at a
+// time, as versions that follow each other quickly are skipped.
+const maxPending = 8
 
-// proof says that no version above version had been acknowledged at moment.
+// proof states that no version above version had been acknowledged at moment.
 type proof struct {
 	version uint64
 	moment  time.Time
-	from    model.NodeID // empty for the own reads
+	from    model.NodeID // empty for the node's own reads
 }
 
-// Core is the state machine of one node. It takes core.Tick, core.PeerUp, core.PeerDown,
-// core.Received, Read, InForce and Met. It is not safe for concurrent use.
+// Core is the state machine that keeps and forwards the proofs of one node. It takes
+// core.Tick, core.PeerUp, core.PeerDown, core.Received, Read, InForce and Met. It is not
+// safe for concurrent use.
 type Core struct {
 	cfg Config
 	now time.Time
 	out []core.Action
 
-	// base is the stamp of the moment origin.
-	base   uint64
-	origin time.Time
+	// stampBase is the stamp of the moment origin.
+	stampBase uint64
+	origin    time.Time
 
+	// held is the version in force.
 	held uint64
-	// newest is the highest version that is known to exist.
+	// newest is the highest version known to exist.
 	newest uint64
-	// life is the store's highest that is known; 0 for none.
-	life uint64
-	// settled is from when on reads prove something again.
-	settled time.Time
-	// counted is the latest proof for the version in force; its moment is zero for none.
-	counted proof
-	// waiting are the proofs of versions that are not in force yet: each is of a higher
-	// version and of a later moment than the one before.
-	waiting []proof
-	peers   map[model.NodeID]*peer
-	told    Changed
+	// epoch is the highest known epoch of the store; 0 for none.
+	epoch uint64
+	// settledAt is the moment from which reads count as proofs.
+	settledAt time.Time
+	// current is the latest proof that covers the version in force; its moment is zero for
+	// none.
+	current proof
+	// pending holds the proofs of versions that are not in force yet, in ascending order of
+	// both version and moment.
+	pending  []proof
+	peers    map[model.NodeID]*peer
+	reported Changed
 }
 
-// baseBits is the size of the base of stamps, in bits: so large that stamps of two starts
-// don't meet, and with room for years of milliseconds.
-const baseBits = 62
+// stampBaseBits is the size of the random base of stamps, in bits: large enough that stamps
+// of two starts of a node don't collide, and small enough to leave room for years of
+// milliseconds.
+const stampBaseBits = 62
 
-// New returns the core of a node without proof.
+// New returns the core of a node without a proof.
 func New(cfg Config, seed uint64) *Core {
 	rng := rand.New(rand.NewPCG(seed, seed))
-	return &Core{cfg: cfg, base: 1 + rng.Uint64N(1<<baseBits), peers: make(map[model.NodeID]*peer)}
+	return &Core{cfg: cfg, stampBase: 1 + rng.Uint64N(1<<stampBaseBits), peers: make(map[model.NodeID]*peer)}
 }
 
-// Step takes one event and returns the actions it leads to.
+// Step handles one event and returns the resulting actions.
 func (c *Core) Step(now time.Time, ev core.Event) []core.Action {
 	c.out = nil
 	c.now = now
 	if c.origin.IsZero() {
 		c.origin = now
 	}
-	raised := c.handle(ev)
-	c.tell(raised)
-	c.passOn()
+	advanced := c.handle(ev)
+	c.report(advanced)
+	c.propagate()
 	return c.out
 }
 
@@ -75,108 +79,111 @@
 func (c *Core) handle(ev core.Event) bool {
 	switch ev := ev.(type) {
 	case core.PeerUp:
-		c.up(ev)
+		c.peerUp(ev)
 	case core.PeerDown:
 		delete(c.peers, ev.Node)
 	case core.Received:
 		return c.received(ev.From, ev.Message)
 	case Read:
-		c.meet(ev.Life)
-		return c.take(proof{version: ev.Version, moment: ev.Began})
+		c.observeEpoch(ev.Life)
+		return c.accept(proof{version: ev.Version, moment: ev.Began})
 	case InForce:
 		return c.inForce(ev.Version)
 	case Met:
-		c.meet(ev.Life)
+		c.observeEpoch(ev.Life)
 	}
 	return false
 }
 
-// meet takes that the store is in a life. A node that knows none yet can't tell whether it
-// is a new one.
-func (c *Core) meet(life uint64) {
-	if life <= c.life {
+// observeEpoch records an epoch of the store. The first one that a node learns of is not
+// treated as a restore, as the node can't determine whether it is a new one.
+func (c *Core) observeEpoch(epoch uint64) {
+	if epoch <= c.epoch {
 		return
 	}
-	if c.life != 0 {
-		c.restored()
+	if c.epoch != 0 {
+		c.storeRestored()
 	}
-	c.life = life
+	c.epoch = epoch
 }
 
-// restored lets reads prove nothing until operators' rows are back.
-func (c *Core) restored() { c.settled = c.now.Add(c.cfg.Settle) }
+// storeRestored makes reads prove nothing until the rows that operators wrote are back.
+func (c *Core) storeRestored() { c.settledAt = c.now.Add(c.cfg.SettleTime) }
 
 func (c *Core) received(from model.NodeID, m message.Message) bool {
 	switch m := m.(type) {
 	case *message.DocumentAdvert:
-		c.exists(m.Version)
+		c.observeVersion(m.Version)
 	case *message.ReaderBeacon:
-		c.meet(m.Life)
+		c.observeEpoch(m.Life)
 	case *message.Freshness:
 		if p, ok := c.decode(from, m); ok {
-			return c.take(p)
+			return c.accept(p)
 		}
 	}
 	return false
 }
 
-// exists notes that a version has been written.
-func (c *Core) exists(version uint64) { c.newest = max(c.newest, version) }
+// observeVersion records that a version has been written.
+func (c *Core) observeVersion(version uint64) { c.newest = max(c.newest, version) }
 
-// take takes a proof. It reports whether the version in force has got a later one.
-func (c *Core) take(p proof) bool {
-	if p.version == 0 || p.version < c.newest || p.moment.Before(c.settled) || p.moment.After(c.now) {
+// accept validates a proof, and applies it or keeps it pending. It reports whether the
+// version in force has got a later proof.
+func (c *Core) accept(p proof) bool {
+	if p.version == 0 || p.version < c.newest || p.moment.Before(c.settledAt) || p.moment.After(c.now) {
 		return false
 	}
-	c.exists(p.version)
+	c.observeVersion(p.version)
 	if p.version <= c.held {
-		return c.count(p)
+		return c.advance(p)
 	}
-	c.keep(p)
+	c.enqueue(p)
 	return false
 }
 
-// keep lets a proof wait until its version is in force.
-func (c *Core) keep(p proof) {
-	for _, w := range c.waiting {
+// enqueue keeps a proof pending until its version is in force.
+func (c *Core) enqueue(p proof) {
+	for _, w := range c.pending {
 		if w.version <= p.version && !w.moment.Before(p.moment) {
 			return
 		}
 	}
-	c.waiting = slices.DeleteFunc(c.waiting, func(w proof) bool { return w.version >= p.version })
-	if len(c.waiting) < maxWaiting { // the next one finds room: versions come into force
-		c.waiting = append(c.waiting, p)
+	c.pending = slices.DeleteFunc(c.pending, func(w proof) bool { return w.version >= p.version })
+	if len(c.pending) < maxPending { // a later proof finds room once versions come into force
+		c.pending = append(c.pending, p)
 	}
 }
 
-// inForce takes that a version is in force, and with it what waited for it.
+// inForce records that a version is in force and applies the pending proofs that it
+// satisfies. It reports whether the version in force has got a later proof.
 func (c *Core) inForce(version uint64) bool {
 	c.held = max(c.held, version)
-	c.exists(version)
-	raised := false
-	for len(c.waiting) > 0 && c.waiting[0].version <= c.held {
-		raised = c.count(c.waiting[0]) || raised
-		c.waiting = c.waiting[1:]
+	c.observeVersion(version)
+	advanced := false
+	for len(c.pending) > 0 && c.pending[0].version <= c.held {
+		advanced = c.advance(c.pending[0]) || advanced
+		c.pending = c.pending[1:]
 	}
-	return raised
+	return advanced
 }
 
-// count takes a proof that counts for the version in force.
-func (c *Core) count(p proof) bool {
-	if !p.moment.After(c.counted.moment) {
+// advance replaces the current proof by one that covers the version in force, if that is
+// later. It reports whether it was.
+func (c *Core) advance(p proof) bool {
+	if !p.moment.After(c.current.moment) {
 		return false
 	}
-	c.counted = p
+	c.current = p
 	return true
 }
 
-// tell reports what has changed.
-func (c *Core) tell(raised bool) {
-	t := Changed{Moment: c.counted.moment, Behind: c.newest > c.held}
-	if t == c.told {
+// report emits Changed if anything has changed since the last report.
+func (c *Core) report(advanced bool) {
+	t := Changed{Moment: c.current.moment, Behind: c.newest > c.held}
+	if t == c.reported {
 		return
 	}
-	c.told = t
-	t.Raised, t.From = raised, c.counted.from
+	c.reported = t
+	t.Raised, t.From = advanced, c.current.from
 	c.out = append(c.out, t)
 }
--- a/coordination/freshness/doc.go
+++ b/coordination/freshness/doc.go
@@ -1,43 +1,45 @@
-// Package freshness keeps proofs that the configuration in force is current, so that no
-// request is let in under a key that was taken away too long ago.
+// Package freshness maintains proofs that the configuration in force is current, so that no
+// request is admitted with a key that was revoked longer ago than a bound.
 //
 // # Proofs
 //
-// A proof says: no version above V had been acknowledged at moment T. A read of the store
-// that began at T and showed V is one: the store's answers are linearizable, so what
-// began to be acknowledged before T would have shown. What a node that holds H lacks is
-// then acknowledged after T, if V <= H. A proof of a version that isn't in force yet waits
-// until it is; the older proof goes on ageing meanwhile. A proof never gets younger by
-// being passed on, held up or kept.
-//
-// Once a version is known to exist, a proof of an older one is wrong or of no use: the
-// store that was read may be an older copy. It is dropped. The store's life tells as well
-// that it came back older: nodes pass it on, and for Settle after they meet a new one no
-// read that began before counts, whoever made it.
-//
-// # Passing on
-//
-// Nodes pass proofs on to all peers, so that one that the store turns away serves on. Wall
-// clocks are not compared, and how long a message is under way is not known: one sent just
-// before a link is cut may lie in a buffer for seconds, and an age in it would tell too
-// little. So each node stamps its messages with its own clock, and a proof refers to the
-// arrival of the receiver's stamp at the sender. The receiver knows when it made the stamp,
-// and the stamp can't have arrived earlier: the proof's moment that it computes is early by
-// the stamp's way, and never late, whatever happens to the answer.
+// A proof states that no version above V had been acknowledged at moment T. A read of the
+// store that began at T and returned V is such a proof: the store is linearizable, so the
+// read would have returned any version whose acknowledgement began before T. If a node holds
+// version H and V <= H, every version that it lacks was therefore acknowledged after T. A
+// proof of a version that isn't in force yet is kept until it is; meanwhile the older proof
+// goes on ageing. Forwarding, delaying or keeping a proof never makes its moment later.
+//
+// A proof of a version older than the newest known one is dropped: it is useless, or wrong
+// because the store that was read is an older copy. The store's epoch, which rises when the
+// store is restored from an older copy, reveals this too: nodes forward the epoch, and after
+// learning of a new one they ignore all reads, their own and those of peers, that began
+// before SettleTime has passed.
+//
+// # Propagation
+//
+// Nodes forward proofs to all peers, so that a node that the store rejects can keep serving.
+// Wall clocks are not compared, and no transit time is assumed: a message sent just before a
+// link is cut may stay in a buffer for seconds, and an age stated in it would then be too
+// low. Instead, each node stamps its messages with its own clock, and a proof is dated
+// relative to the arrival of the receiver's stamp at the sender. The receiver has recorded
+// when it made the stamp, and the stamp can't have arrived earlier. The moment that the
+// receiver computes is thus early by the transit time of the stamp, and never late, however
+// long the message with the proof takes.
 //
 // # Clocks
 //
-// Time is an argument. It must go on while the process or the host stands still, or a node
-// that wakes up takes an old proof for a young one. Moments are only compared within a
-// node. Differences are taken on one node and applied on another, over MaxSpan at most;
-// Margin pays for clocks that run at different rates.
+// Time is an argument. The clock must keep running while the process or the host is
+// suspended; otherwise a node that resumes takes an old proof for a recent one. Moments are
+// only compared within a node. Differences are measured on one node and applied on another,
+// over at most MaxStampAge; Margin covers clocks that run at different rates.
 //
-// # When a request is judged
+// # Admission of a request
 //
-// A request is let in where Left is above 0 after the request was read. It was sent
-// before that, so before the bound ended: whatever delays it after the judgement, a frozen
-// process or a queue in front of a backend server, it was sent in time. The routes must be
-// loaded before Left is asked, once more before the request is sent, and a proof must be
-// published after the routes that it counts for: a proof of newer routes then can't let a
-// request in under older ones.
+// A request is admitted if Left, evaluated after the request was read, is above 0. The
+// request was sent before that, and so within the bound, whatever delays it after admission:
+// a frozen process or a queue in front of a backend server. The caller must load the routes
+// before it calls Left, and call Left once more before it sends the request on. A proof must
+// be published after the routes that it covers: a proof of newer routes then can't admit a
+// request under older ones.
 package freshness
--- a/coordination/freshness/event.go
+++ b/coordination/freshness/event.go
@@ -6,27 +6,27 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Read reports a read of the store that has succeeded.
+// Read reports a successful read of the store.
 type Read struct {
-	// Began is a moment before the read was asked for.
+	// Began is a moment before the read was sent.
 	Began time.Time
-	// Version is the newest version that the store has told, by this read or, where it
-	// brought no change, by those before it that it goes on from; 0 where it told none.
+	// Version is the newest version that the store has returned: by this read or, if it
+	// brought no change, by the earlier reads that it continues; 0 if none was returned.
 	Version uint64
-	// Life is the store's, which rises when it comes back as an older copy of itself; 0
-	// where the store has none.
+	// Life is the store's epoch, which rises when the store is restored from an older copy;
+	// 0 if the store has none.
 	Life uint64
 }
 
-// InForce reports that a version has been put in force, after it was published to the
-// requests.
+// InForce reports that a version has come into force, after it was published to the
+// handling of requests.
 type InForce struct {
-	// Version is higher than that of every earlier one.
+	// Version is higher than that of every earlier InForce.
 	Version uint64
 }
 
-// Met reports a life of the store that any call, or another core, has told; 0 is none. It
-// may be given often.
+// Met reports an epoch of the store that any call, or another core, has returned; 0 for
+// none. The same epoch may be reported repeatedly.
 type Met struct{ Life uint64 }
 
 // Event implements core.Event.
@@ -38,14 +38,15 @@
 // Event implements core.Event.
 func (Met) Event() {}
 
-// Changed reports what is proved of the version in force.
+// Changed reports a change of what is proved about the version in force.
 type Changed struct {
-	// Moment is when it was proved to be the newest; zero for never.
+	// Moment is the latest moment at which the version was proved to be the newest; zero if
+	// there is no proof.
 	Moment time.Time
-	// Behind says that a newer version is known.
+	// Behind is set when a newer version is known to exist.
 	Behind bool
-	// Raised says that Moment is later than before, and From names the peer that the proof
-	// came from; empty for the own reads of the store.
+	// Raised is set when Moment is later than before. From is the peer that sent the proof;
+	// empty for the node's own reads of the store.
 	Raised bool
 	From   model.NodeID
 }
--- a/coordination/freshness/pass.go
+++ b/coordination/freshness/pass.go
@@ -10,69 +10,72 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// peer is what is known of a connected peer.
+// peer is the state kept for a connected peer.
 type peer struct {
 	incarnation uint64
-	// first and last are the stamps that were sent to it on this link.
-	first, last uint64
-	sent        time.Time
-	// answered says that a proof has been sent on this link.
-	answered bool
-	// stamp is the newest one that it has sent, and arrived when it was read; 0 for none.
-	stamp   uint64
-	arrived time.Time
-	// has is the moment of the latest proof that it is known to have.
-	has time.Time
+	// firstStamp and lastStamp delimit the stamps that were sent to it on this link.
+	firstStamp, lastStamp uint64
+	// lastSent is when the last message was sent to it.
+	lastSent time.Time
+	// proofSent is set once a proof has been sent on this link.
+	proofSent bool
+	// stamp is the newest stamp received from it, and stampArrived when that was received;
+	// 0 for none.
+	stamp        uint64
+	stampArrived time.Time
+	// proofMoment is the moment of the latest proof that the peer is known to have.
+	proofMoment time.Time
 }
 
-// up greets a peer with a stamp, so that it can send proofs.
-func (c *Core) up(ev core.PeerUp) {
+// peerUp sends a new peer a stamp, so that the peer can send proofs.
+func (c *Core) peerUp(ev core.PeerUp) {
 	id := ev.Record.Node
 	if p := c.peers[id]; p != nil && p.incarnation == ev.Record.Incarnation {
 		return // a second connection to the same process
 	}
-	p := &peer{incarnation: ev.Record.Incarnation, first: c.stamp()}
+	p := &peer{incarnation: ev.Record.Incarnation, firstStamp: c.stamp()}
 	c.peers[id] = p
 	c.send(id, p, proof{})
 }
 
-// stamp returns the present moment, rounded down.
-func (c *Core) stamp() uint64 { return c.base + uint64(c.now.Sub(c.origin)/time.Millisecond) }
+// stamp returns the stamp of the present moment, rounded down to a millisecond.
+func (c *Core) stamp() uint64 { return c.stampBase + uint64(c.now.Sub(c.origin)/time.Millisecond) }
 
-// stamped returns the moment of a stamp.
-func (c *Core) stamped(s uint64) time.Time {
-	return c.origin.Add(time.Duration(s-c.base) * time.Millisecond)
+// stampTime returns the moment of one of the node's own stamps.
+func (c *Core) stampTime(s uint64) time.Time {
+	return c.origin.Add(time.Duration(s-c.stampBase) * time.Millisecond)
 }
 
-// decode reads a peer's stamp and its proof by the own clock.
+// decode records a peer's stamp and returns the proof in its message, dated by the node's own
+// clock; false if there is no valid one.
 func (c *Core) decode(from model.NodeID, m *message.Freshness) (proof, bool) {
 	p := c.peers[from]
 	if p == nil {
 		return proof{}, false
 	}
 	if m.Stamp > p.stamp {
-		if m.Echo == 0 && p.stamp != 0 { // it has begun the link anew
-			p.sent, p.has, p.answered = time.Time{}, time.Time{}, false
+		if m.Echo == 0 && p.stamp != 0 { // the peer has re-established the link
+			p.lastSent, p.proofMoment, p.proofSent = time.Time{}, time.Time{}, false
 		}
-		p.stamp, p.arrived = m.Stamp, c.now
+		p.stamp, p.stampArrived = m.Stamp, c.now
 	}
-	c.meet(m.Life)
-	span := c.cfg.MaxSpan.Milliseconds()
-	known := m.Echo >= p.first && m.Echo <= p.last
-	if m.Version == 0 || !known || m.Offset < -span || m.Offset > span {
+	c.observeEpoch(m.Life)
+	maxOffset := c.cfg.MaxStampAge.Milliseconds()
+	known := m.Echo >= p.firstStamp && m.Echo <= p.lastStamp
+	if m.Version == 0 || !known || m.Offset < -maxOffset || m.Offset > maxOffset {
 		return proof{}, false
 	}
-	moment := c.stamped(m.Echo).Add(time.Duration(m.Offset) * time.Millisecond)
-	if moment.After(p.has) {
-		p.has = moment
+	moment := c.stampTime(m.Echo).Add(time.Duration(m.Offset) * time.Millisecond)
+	if moment.After(p.proofMoment) {
+		p.proofMoment = moment
 	}
 	return proof{version: m.Version, moment: moment, from: from}, true
 }
 
-// latest returns the latest proof of any version.
+// latest returns the latest proof of any version, in force or pending.
 func (c *Core) latest() proof {
-	best := c.counted
-	for _, w := range c.waiting {
+	best := c.current
+	for _, w := range c.pending {
 		if w.moment.After(best.moment) {
 			best = w
 		}
@@ -80,43 +83,45 @@
 	return best
 }
 
-// passOn sends what is due to the peers.
-func (c *Core) passOn() {
+// propagate sends each peer the latest proof, or only a stamp, when it is due.
+func (c *Core) propagate() {
 	best := c.latest()
 	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
 		p := c.peers[id]
-		quiet := c.now.Sub(p.sent)
+		sinceSent := c.now.Sub(p.lastSent)
 		switch {
-		case c.useful(p, best) && (!p.answered || quiet >= c.cfg.SendInterval):
+		case c.worthSending(p, best) && (!p.proofSent || sinceSent >= c.cfg.SendInterval):
 			c.send(id, p, best)
-		case quiet >= c.cfg.StampInterval:
+		case sinceSent >= c.cfg.StampInterval:
 			c.send(id, p, proof{})
 		}
 	}
 }
 
-// useful reports whether a proof can be told to a peer and is younger, by Gain, than what it has.
-func (c *Core) useful(p *peer, best proof) bool {
-	if best.version == 0 || p.stamp == 0 || best.moment.Sub(p.has) < c.cfg.Gain {
+// worthSending reports whether a proof can be sent to a peer and is later, by MinGain, than
+// the one that the peer has.
+func (c *Core) worthSending(p *peer, best proof) bool {
+	if best.version == 0 || p.stamp == 0 || best.moment.Sub(p.proofMoment) < c.cfg.MinGain {
 		return false
 	}
-	// One that has run out tells nothing, and the stamp may be too far from it.
-	return c.now.Sub(best.moment) < c.cfg.Bound && c.now.Sub(p.arrived) < c.cfg.MaxSpan
+	// An expired proof is of no use, and its moment may be too far from the stamp's arrival.
+	return c.now.Sub(best.moment) < c.cfg.Bound && c.now.Sub(p.stampArrived) < c.cfg.MaxStampAge
 }
 
-// send sends a stamp, and a proof where there is one.
+// send sends a stamp, and the proof unless it is empty.
 func (c *Core) send(to model.NodeID, p *peer, best proof) {
-	m := &message.Freshness{Stamp: c.stamp(), Echo: p.stamp, Life: c.life}
+	m := &message.Freshness{Stamp: c.stamp(), Echo: p.stamp, Life: c.epoch}
 	if best.version != 0 {
 		m.Version = best.version
-		m.Offset = floorMillis(best.moment.Sub(p.arrived))
-		p.has, p.answered = best.moment, true
+		m.Offset = floorMillis(best.moment.Sub(p.stampArrived))
+		p.proofMoment, p.proofSent = best.moment, true
 	}
-	p.last, p.sent = m.Stamp, c.now
+	p.lastStamp, p.lastSent = m.Stamp, c.now
 	c.out = append(c.out, core.Send{To: to, Priority: message.Urgent, Message: m})
 }
 
-// floorMillis rounds down, so that a proof never gets younger.
+// floorMillis returns d in milliseconds, rounded down so that a proof's moment never becomes
+// later.
 func floorMillis(d time.Duration) int64 {
 	ms := d.Milliseconds()
 	if time.Duration(ms)*time.Millisecond > d {
--- a/coordination/freshness/world_test.go
+++ b/coordination/freshness/world_test.go
@@ -14,73 +14,75 @@
 
 const (
 	bound = 5 * time.Second
-	// nodes stand in a row, each linked with the next: the middle one passes on.
+	// nodes is the length of the chain, in which the middle node propagates proofs.
 	nodes = 3
 )
 
-// world is a store and a few cores whose events come in any order. Nothing in it is fair:
-// messages and answers lie as long as the test likes, and come after restarts too.
+// world is a model of a store and a chain of cores whose events come in any order. Messages
+// and responses may be delayed for any time, also past restarts.
 type world struct {
 	now   time.Duration // true time
 	cores [nodes]*Core
-	// starts makes each start's clock and stamps its own.
+	// starts counts the starts of nodes, so that each start has its own clock and stamps.
 	starts uint64
 	origin [nodes]time.Time
-	// acked is when each version was acknowledged; shown is what reads show.
+	// acked is when each version was acknowledged; shown is the version that reads return.
 	acked []time.Duration
 	shown uint64
-	// life rises when the store comes back older, at restored.
-	life     uint64
+	// epoch rises when the store is restored from an older copy, which last happened at
+	// restored.
+	epoch    uint64
 	restored time.Duration
-	// blind nodes know no life of before: they can't tell that the store is older.
+	// blind marks nodes that hold no epoch from before the restore and can't detect it.
 	blind  [nodes]bool
 	reads  [nodes]read
 	queues [nodes][nodes][]*message.Freshness
-	// ageOnly makes receivers trust the time that messages are under way to be nothing.
+	// ageOnly makes receivers take the transit time of messages to be zero.
 	ageOnly bool
-	// rate is how fast each node's clock runs, in parts of a million.
+	// rate is the deviation of the rate of each node's clock, in parts per million.
 	rate [nodes]int64
 }
 
-// read is a read of the store that is under way.
+// read is the state of a read of the store.
 type read struct {
 	state   int // 0 for none, 1 begun, 2 served
 	began   time.Time
 	version uint64
-	life    uint64
+	epoch   uint64
 }
 
 func id(i int) model.NodeID { return model.NodeID(fmt.Sprint("n", i)) }
 
-// newWorld returns a world whose nodes hold version 1 and a proof of it. An life of 0 is
-// that of a store that doesn't tell any.
-func newWorld(life uint64) *world {
-	w := &world{acked: []time.Duration{0, 0}, shown: 1, life: life}
+// newWorld returns a world whose nodes hold version 1 and a proof of it. An epoch of 0 is
+// that of a store without epochs.
+func newWorld(epoch uint64) *world {
+	w := &world{acked: []time.Duration{0, 0}, shown: 1, epoch: epoch}
 	for i := range nodes {
 		w.start(i)
 	}
 	for i := range nodes - 1 {
 		w.link(i, i+1)
 	}
-	for _, a := range []action{serve, finish} {
+	for _, a := range []action{serveRead, finishRead} {
 		for i := range nodes {
-			w.play(event{begin, i})
+			w.play(event{beginRead, i})
 			w.play(event{a, i})
 		}
 	}
-	for w.arrive() {
+	for w.deliverEach() {
 	}
 	return w
 }
 
-// arrive delivers one message of each link and reports whether there was one.
-func (w *world) arrive() bool {
-	any := false
+// deliverEach delivers one message in each direction of each link. It reports whether there
+// was any.
+func (w *world) deliverEach() bool {
+	delivered := false
 	for i := range nodes {
-		any = w.play(event{right, i}) || any
-		any = w.play(event{left, i}) || any
+		delivered = w.play(event{deliverNext, i}) || delivered
+		delivered = w.play(event{deliverPrevious, i}) || delivered
 	}
-	return any
+	return delivered
 }
 
 func (w *world) start(i int) {
@@ -89,7 +91,7 @@
 	w.origin[i] = time.Unix(int64(1000*w.starts), 0)
 	w.reads[i] = read{}
 	w.blind[i] = w.missing()
-	w.origin[i] = w.origin[i].Add(-w.now) // the clock goes on from anywhere
+	w.origin[i] = w.origin[i].Add(-w.now) // each start begins at its own clock value
 }
 
 func (w *world) link(i, j int) {
@@ -97,13 +99,13 @@
 	w.step(j, core.PeerUp{Record: endpoint.Record{Node: id(i), Incarnation: w.starts}})
 }
 
-// clock is a node's present moment.
+// clock returns the present time of a node's clock.
 func (w *world) clock(i int) time.Time {
 	return w.origin[i].Add(w.now + w.now*time.Duration(w.rate[i])/1e6)
 }
 
-// truth is the true time of a node's moment.
-func (w *world) truth(i int, m time.Time) time.Duration {
+// trueTime converts a moment of a node's clock to true time.
+func (w *world) trueTime(i int, m time.Time) time.Duration {
 	d := m.Sub(w.origin[i])
 	return d - d*time.Duration(w.rate[i])/1e6
 }
@@ -120,31 +122,31 @@
 	}
 }
 
-// broken returns a node whose proof covers a time at which a version that it lacks had
-// been acknowledged, or -1.
-func (w *world) broken() int {
+// violator returns a node whose proof covers a time at which a version that it lacks had
+// been acknowledged; -1 if there is none.
+func (w *world) violator() int {
 	for i, c := range w.cores {
 		lacking := c.held + 1
-		if w.blind[i] || c.counted.moment.IsZero() || lacking >= uint64(len(w.acked)) {
+		if w.blind[i] || c.current.moment.IsZero() || lacking >= uint64(len(w.acked)) {
 			continue
 		}
-		if w.truth(i, c.counted.moment) > w.acked[lacking]+c.cfg.Margin {
+		if w.trueTime(i, c.current.moment) > w.acked[lacking]+c.cfg.Margin {
 			return i
 		}
 	}
 	return -1
 }
 
-// missing reports whether the store lacks a version that was acknowledged.
+// missing reports whether the store lacks an acknowledged version.
 func (w *world) missing() bool { return w.shown < uint64(len(w.acked))-1 }
 
-// clone copies everything that events change.
+// clone copies all state that events change.
 func (w *world) clone() *world {
 	n := *w
 	n.acked = slices.Clone(w.acked)
 	for i, c := range w.cores {
 		k := *c
-		k.waiting = slices.Clone(c.waiting)
+		k.pending = slices.Clone(c.pending)
 		k.peers = maps.Clone(c.peers)
 		for id, p := range k.peers {
 			q := *p
@@ -160,25 +162,26 @@
 	return &n
 }
 
+// action is the type of an event.
 type action int
 
-// The events of a world.
+// The actions of a world.
 const (
-	write   action = iota // an operator's write is acknowledged
-	begin                 // a node begins a read
-	serve                 // the store decides what the read shows
-	finish                // the read's answer arrives
-	tick                  // a node's Tick
-	right                 // the oldest message to the next node arrives
-	left                  // the oldest message to the one before arrives
-	follow                // a node gets the next node's configuration
-	lead                  // a node gets the configuration of the one before
-	pause                 // 600 ms pass: nobody does anything
-	freeze                // 3 s pass
-	restart               // a node starts anew, and all its links
-	relink                // a node's links end and come back
-	older                 // the store comes back with its first version only
-	back                  // operators' rows are back
+	write           action = iota // an operator's write is acknowledged
+	beginRead                     // a node begins a read
+	serveRead                     // the store fixes the result of the read
+	finishRead                    // the response to the read arrives
+	tick                          // a node gets a Tick
+	deliverNext                   // the oldest message to the next node arrives
+	deliverPrevious               // the oldest message to the previous node arrives
+	copyNext                      // a node gets the configuration of the next node
+	copyPrevious                  // a node gets the configuration of the previous node
+	pause                         // 600 ms pass
+	freeze                        // 3 s pass
+	restart                       // a node restarts and its links are re-established
+	relink                        // a node's links go down and up again
+	restoreOlder                  // the store is restored from a copy with its first version only
+	restoreRows                   // the rows that operators wrote are back
 )
 
 // event is one action at one node.
@@ -187,7 +190,7 @@
 	node   int
 }
 
-// play carries out an event. It reports false where the event can't happen.
+// play carries out an event. It reports false if the event isn't possible.
 func (w *world) play(e event) bool {
 	i := e.node
 	switch e.action {
@@ -197,27 +200,27 @@
 		}
 		w.acked = append(w.acked, w.now)
 		w.shown++
-	case begin:
+	case beginRead:
 		if w.reads[i].state != 0 {
 			return false
 		}
 		w.reads[i] = read{state: 1, began: w.clock(i)}
-	case serve:
+	case serveRead:
 		if w.reads[i].state != 1 {
 			return false
 		}
-		w.reads[i].state, w.reads[i].version, w.reads[i].life = 2, w.shown, w.life
-	case finish:
+		w.reads[i].state, w.reads[i].version, w.reads[i].epoch = 2, w.shown, w.epoch
+	case finishRead:
 		return w.finish(i)
 	case tick:
 		w.step(i, core.Tick{})
-	case right:
+	case deliverNext:
 		return i+1 < nodes && w.deliver(i, i+1)
-	case left:
+	case deliverPrevious:
 		return i > 0 && w.deliver(i, i-1)
-	case follow:
+	case copyNext:
 		return i+1 < nodes && w.copy(i+1, i)
-	case lead:
+	case copyPrevious:
 		return i > 0 && w.copy(i-1, i)
 	case pause:
 		w.now += 600 * time.Millisecond
@@ -228,19 +231,19 @@
 		w.relink(i)
 	case relink:
 		w.relink(i)
-	case older:
+	case restoreOlder:
 		if w.shown < 2 || w.missing() {
 			return false
 		}
 		w.shown = 1
-		if w.life > 0 {
-			w.life++
+		if w.epoch > 0 {
+			w.epoch++
 		}
 		w.restored = w.now
 		for i, c := range w.cores {
-			w.blind[i] = w.blind[i] || w.life > 0 && c.life == 0
+			w.blind[i] = w.blind[i] || w.epoch > 0 && c.epoch == 0
 		}
-	case back:
+	case restoreRows:
 		if !w.missing() {
 			return false
 		}
@@ -256,11 +259,11 @@
 	}
 	w.reads[i] = read{}
 	w.hold(i, r.version)
-	w.step(i, Read{Began: r.began, Version: r.version, Life: r.life})
+	w.step(i, Read{Began: r.began, Version: r.version, Life: r.epoch})
 	return true
 }
 
-// hold puts a version in force, unless a newer one is.
+// hold puts a version in force at a node, unless the node holds it or a newer one.
 func (w *world) hold(i int, version uint64) bool {
 	if version <= w.cores[i].held {
 		return false
@@ -279,25 +282,25 @@
 	w.queues[from][to] = q[1:]
 	m := q[0]
 	if w.ageOnly {
-		m = w.trusted(from, to, m)
+		m = w.ageOnlyMessage(from, to, m)
 	}
 	w.step(to, core.Received{From: id(from), Message: m})
 	return true
 }
 
-// trusted rewrites a proof as a receiver would read it that takes a message to be as
-// young as when it was sent.
-func (w *world) trusted(from, to int, m *message.Freshness) *message.Freshness {
+// ageOnlyMessage rewrites a message so that its receiver dates the proof by the age at
+// sending alone, as if the transit time were zero.
+func (w *world) ageOnlyMessage(from, to int, m *message.Freshness) *message.Freshness {
 	p := w.cores[to].peers[id(from)]
 	back := w.cores[from].peers[id(to)]
 	if m.Version == 0 || p == nil || back == nil {
 		return m
 	}
 	n := *m
-	moment := back.arrived.Add(time.Duration(m.Offset) * time.Millisecond)
-	age := w.cores[from].stamped(m.Stamp).Sub(moment) // when it was sent
-	n.Echo = p.last
-	n.Offset = (w.clock(to).Sub(w.cores[to].stamped(p.last)) - age).Milliseconds()
+	moment := back.stampArrived.Add(time.Duration(m.Offset) * time.Millisecond)
+	age := w.cores[from].stampTime(m.Stamp).Sub(moment) // at sending
+	n.Echo = p.lastStamp
+	n.Offset = (w.clock(to).Sub(w.cores[to].stampTime(p.lastStamp)) - age).Milliseconds()
 	return &n
 }
 
