--- a/coordination/lease/doc.go
+++ b/coordination/lease/doc.go
@@ -1,11 +1,12 @@
-// Package lease decides when a node holds its zone's lease: one item of the
-// platform's table service, changed by conditional writes only.
+// Package lease decides when a node holds the lease of its zone. The lease is
+// one item of the platform's table service, changed by conditional writes only.
 //
-// No two clocks are compared. A holder counts its lease from before it sent
-// the write; a candidate takes over only after it has itself watched the item
-// unchanged for that long and a margin. So two holders never overlap while
-// their clocks' speeds differ by less than the margin over one lease. The term
-// rises by one with each takeover and fences what a lapsed holder still sends.
+// Clocks of different nodes are never compared. A holder counts the duration
+// of its lease from before it sent the write; a candidate takes over only after
+// it has itself seen the item unchanged for that duration plus a margin. Two
+// holders therefore never overlap while the drift between their clocks over one
+// lease is less than the margin. The term rises by one with each takeover and
+// fences messages that a holder sends after its lease has lapsed.
 //
-// The package is a pure core: see package core for the rules of such a core.
+// The package is a pure core: package core states the rules for such cores.
 package lease
--- a/coordination/lease/events.go
+++ b/coordination/lease/events.go
@@ -2,9 +2,10 @@
 
 import "github.com/jacinthgate/jacinthgate/state/model"
 
-// Item is the content of the lease's item in the table service.
+// Item is the content of the item that represents the lease in the table
+// service.
 type Item struct {
-	// Holder is the node that holds the lease; empty when it was released.
+	// Holder is the node that holds the lease; empty after a release.
 	Holder model.NodeID `json:"holder"`
 	// Incarnation is the holder's incarnation.
 	Incarnation uint64 `json:"incarnation"`
@@ -14,47 +15,48 @@
 	Address string `json:"address"`
 }
 
-// Candidate says whether the node contends for the lease.
+// Candidate sets whether the node contends for the lease.
 type Candidate struct {
-	// Contend is false for a node that must not hold the lease; a holder then
-	// releases it.
+	// Contend is false for a node that must not hold the lease; if it holds the
+	// lease, it releases it.
 	Contend bool
 }
 
-// ItemRead answers ReadItem.
+// ItemRead is the response to ReadItem.
 type ItemRead struct {
-	// ID is the read's.
+	// ID is the ID of the ReadItem.
 	ID uint64
-	// Item is the content; the zero Item when there is none yet.
+	// Item is the content; the zero Item if the item doesn't exist yet.
 	Item Item
-	// Revision is the item's revision; 0 when there is none yet.
+	// Revision is the item's revision; 0 if the item doesn't exist yet.
 	Revision uint64
 	// Err is set when the item could not be read.
 	Err error
 }
 
-// WriteResult says what became of a conditional write.
+// WriteResult is the result of a conditional write.
 type WriteResult uint8
 
 // The results of a write.
 const (
-	// WriteDone took effect.
+	// WriteDone means that the write took effect.
 	WriteDone WriteResult = iota
-	// WriteRefused did not, as the item has another revision.
+	// WriteRefused means that the write did not take effect, as the item has
+	// another revision.
 	WriteRefused
-	// WriteFailed certainly did not take effect.
+	// WriteFailed means that the write certainly did not take effect.
 	WriteFailed
-	// WriteUnknown may have taken effect, now or later.
+	// WriteUnknown means that the write may have taken effect or may do so later.
 	WriteUnknown
 )
 
-// Written answers WriteItem.
+// Written is the response to WriteItem.
 type Written struct {
-	// ID is the write's.
+	// ID is the ID of the WriteItem.
 	ID uint64
-	// Result says what became of it.
+	// Result is the result of the write.
 	Result WriteResult
-	// Revision is the item's new revision when it is done.
+	// Revision is the item's new revision if Result is WriteDone.
 	Revision uint64
 }
 
@@ -67,20 +69,21 @@
 // Event implements core.Event.
 func (Written) Event() {}
 
-// ReadItem asks for a consistent read of the item.
+// ReadItem requests a consistent read of the item.
 type ReadItem struct {
-	// ID is to be given back in ItemRead.
+	// ID must be returned in ItemRead.
 	ID uint64
 }
 
-// WriteItem asks for a conditional write of the item. It must be sent at once
-// and must not be repeated.
+// WriteItem requests a conditional write of the item. The write must be sent at
+// once and must not be retried.
 type WriteItem struct {
-	// ID is to be given back in Written.
+	// ID must be returned in Written.
 	ID uint64
 	// Item is the new content.
 	Item Item
-	// IfRevision is the revision that the item must have; 0 means none.
+	// IfRevision is the revision that the item must have; 0 if the item must not
+	// exist.
 	IfRevision uint64
 }
 
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -8,30 +8,35 @@
 	"github.com/jacinthgate/jacinthgate/state/endpoint"
 )
 
-// Core is the decision core of one node for one lease.
+// Core is the state machine by which one node acquires, renews and releases one
+// lease.
 type Core struct {
 	cfg  Config
 	self endpoint.Record
 	rng  *rand.Rand
 	out  []core.Action
 
-	contend bool
-	term    uint64    // of this node's newest attempt; 0 before the first
-	until   time.Time // the lease lapses; zero: not held
-
-	known    bool // item and revision were read or written in this life
-	item     Item
-	revision uint64
-	since    time.Time // when revision was first seen
-
-	pending  operation
-	lastID   uint64
-	nextAt   time.Time // when to read or renew next
-	settle   bool      // a write was lost: read before the next one
-	unproven time.Time // oldest lost write conditional on revision; zero: none
+	contend   bool
+	term      uint64    // of this node's newest attempt; 0 before the first
+	heldUntil time.Time // when the lease lapses; zero: not held
+
+	// known is set while item and revision, as last read or written by this
+	// process, need no new read.
+	known         bool
+	item          Item
+	revision      uint64
+	revisionSince time.Time // when revision was first seen
+
+	pending   operation
+	lastID    uint64
+	nextAt    time.Time // when the next read or write is due
+	readFirst bool      // a write has an unknown result: read before the next write
+	// unknownSince is when the oldest write with unknown result that is
+	// conditional on revision was sent; zero: none.
+	unknownSince time.Time
 }
 
-// operation is the read or write that waits for its answer.
+// operation is a read or write in progress.
 type operation struct {
 	id       uint64 // 0: none
 	write    bool
@@ -41,27 +46,28 @@
 	deadline time.Time
 }
 
-// New returns the core of a node that does not hold the lease and does not
-// contend for it. Of self, Node, Incarnation and PeerAddr are used.
+// New returns the core of a node that neither holds the lease nor contends for
+// it. Only Node, Incarnation and PeerAddr of self are used.
 func New(cfg Config, self endpoint.Record, seed uint64) *Core {
 	return &Core{cfg: cfg, self: self, rng: rand.New(rand.NewPCG(seed, uint64(self.Node.Key())))}
 }
 
 // Held reports whether the node holds the lease at the given time of its own
-// clock. It must be asked again before each act that needs the lease: a paused
-// process doesn't notice that it lapsed.
-func (c *Core) Held(now time.Time) bool { return c.contend && now.Before(c.until) }
+// clock. It must be called before each action that needs the lease, as the
+// lease may have lapsed while the process was paused.
+func (c *Core) Held(now time.Time) bool { return c.contend && now.Before(c.heldUntil) }
 
-// Term returns the fencing number: the term of the lease held, or of the last
-// one that this node tried to hold. 0 means none yet.
+// Term returns the fencing token: the term of the lease held, or of the last
+// one that this node tried to acquire; 0 before the first attempt.
 func (c *Core) Term() uint64 { return c.term }
 
-// Current returns the item as last read or written: who held the lease then.
+// Current returns the item as last read or written, with the holder at that
+// time.
 func (c *Core) Current() Item { return c.item }
 
-// Step takes one event and returns what the driver must do. It takes core.Tick
-// and the events of this package; it ignores others. now must come from a clock
-// that never goes back.
+// Step handles one event and returns the actions for the driver. It takes
+// core.Tick and the events of this package, and ignores others. now must come
+// from a monotonic clock.
 func (c *Core) Step(now time.Time, ev core.Event) []core.Action {
 	switch e := ev.(type) {
 	case Candidate:
@@ -77,6 +83,7 @@
 	return out
 }
 
+// candidate starts contending for the lease, or stops and releases a held one.
 func (c *Core) candidate(now time.Time, e Candidate) {
 	if e.Contend == c.contend {
 		return
@@ -85,46 +92,50 @@
 	c.contend = e.Contend
 	c.nextAt = now
 	if !e.Contend && held {
-		c.until = time.Time{}
+		c.heldUntil = time.Time{}
 		c.release(now)
 	}
 }
 
-// timers gives up what has no answer and starts what is due.
+// timers gives up an operation that has timed out, and starts the next one when
+// it is due.
 func (c *Core) timers(now time.Time) {
 	if c.pending.id != 0 && !now.Before(c.pending.deadline) {
-		c.lost(now)
+		c.giveUp(now)
 	}
 	if !c.contend || c.pending.id != 0 || now.Before(c.nextAt) {
 		return
 	}
 	switch {
-	case !c.known || c.settle:
+	case !c.known || c.readFirst:
 		c.read(now)
-	case c.mine():
+	case c.writtenBySelf():
 		c.write(now, c.term)
-	case c.mayTake(now):
+	case c.mayTakeOver(now):
 		c.write(now, c.item.Term+1)
 	default:
 		c.read(now)
 	}
 }
 
-// mine reports whether the item, as last seen, was written by this process.
-func (c *Core) mine() bool {
+// writtenBySelf reports whether the item, as last seen, was written by this
+// process with its newest term.
+func (c *Core) writtenBySelf() bool {
 	return c.revision != 0 && c.item.Holder == c.self.Node &&
 		c.item.Incarnation == c.self.Incarnation && c.item.Term == c.term
 }
 
-// mayTake reports whether no other node can still hold the lease: there never
-// was one, it was released, or it was watched for long enough.
-func (c *Core) mayTake(now time.Time) bool {
+// mayTakeOver reports whether no other node can still hold the lease: no node
+// has ever held it, it was released, or the item has been unchanged for Duration
+// plus Margin.
+func (c *Core) mayTakeOver(now time.Time) bool {
 	if c.revision == 0 || c.item.Holder == "" {
 		return true
 	}
-	return !now.Before(c.since.Add(c.cfg.Duration + c.cfg.Margin))
+	return !now.Before(c.revisionSince.Add(c.cfg.Duration + c.cfg.Margin))
 }
 
-func (c *Core) around(d time.Duration) time.Duration {
+// jitter returns d with a jitter of up to 10 % in either direction.
+func (c *Core) jitter(d time.Duration) time.Duration {
 	return d - d/10 + time.Duration(c.rng.Int64N(int64(d/5)+1))
 }
--- a/coordination/lease/operate.go
+++ b/coordination/lease/operate.go
@@ -2,6 +2,7 @@
 
 import "time"
 
+// begin records an operation as in progress and returns its ID.
 func (c *Core) begin(now time.Time, op operation) uint64 {
 	c.lastID++
 	op.id = c.lastID
@@ -15,7 +16,7 @@
 	c.out = append(c.out, ReadItem{ID: c.begin(now, operation{})})
 }
 
-// write takes the lease, or renews it with the same term.
+// write acquires the lease with a new term, or renews it with the same term.
 func (c *Core) write(now time.Time, term uint64) {
 	c.term = term
 	item := Item{Holder: c.self.Node, Incarnation: c.self.Incarnation, Term: term, Address: c.self.PeerAddr}
@@ -23,8 +24,9 @@
 	c.out = append(c.out, WriteItem{ID: id, Item: item, IfRevision: c.revision})
 }
 
-// release gives the lease up, so that the next candidate need not wait. A
-// renewal still under way has the same condition: only one takes effect.
+// release gives up the lease, so that the next candidate doesn't have to wait. A
+// renewal still in progress has the same condition, so only one of the two writes
+// takes effect.
 func (c *Core) release(now time.Time) {
 	if !c.known {
 		return
@@ -35,90 +37,94 @@
 	c.known = false
 }
 
-// lost settles an operation without an answer: a write by reading, as it may
-// have taken effect.
-func (c *Core) lost(now time.Time) {
+// giveUp gives up an operation that has timed out. A write may have taken
+// effect, so it is followed by a read at once; a read is retried after
+// RetryInterval.
+func (c *Core) giveUp(now time.Time) {
 	op := c.pending
 	c.pending = operation{}
 	c.nextAt = now
 	if op.write && !op.release {
-		c.doubt(op.sentAt)
+		c.recordUnknown(op.sentAt)
 	}
 	if !op.write {
-		c.nextAt = now.Add(c.around(c.cfg.RetryInterval))
+		c.nextAt = now.Add(c.jitter(c.cfg.RetryInterval))
 	}
 }
 
-// doubt notes a write whose effect is not known: it may even come later. Of
-// several with the same condition the oldest counts, as any of them may be the
-// one that takes effect.
-func (c *Core) doubt(sentAt time.Time) {
-	c.settle = true
-	if c.unproven.IsZero() || sentAt.Before(c.unproven) {
-		c.unproven = sentAt
+// recordUnknown records a write with unknown result, which may also take effect
+// later. Of several with the same condition the oldest counts, as any of them
+// may be the one that takes effect.
+func (c *Core) recordUnknown(sentAt time.Time) {
+	c.readFirst = true
+	if c.unknownSince.IsZero() || sentAt.Before(c.unknownSince) {
+		c.unknownSince = sentAt
 	}
 }
 
+// itemRead handles the response to a read.
 func (c *Core) itemRead(now time.Time, e ItemRead) {
 	if e.ID != c.pending.id || c.pending.write {
 		return
 	}
 	c.pending = operation{}
 	if e.Err != nil {
-		c.nextAt = now.Add(c.around(c.cfg.RetryInterval))
+		c.nextAt = now.Add(c.jitter(c.cfg.RetryInterval))
 		return
 	}
-	c.settle = false
-	unproven := c.unproven
+	c.readFirst = false
+	unknownSince := c.unknownSince
 	changed := e.Revision != c.revision
-	c.see(now, e.Item, e.Revision)
-	if !c.mine() {
-		c.until = time.Time{}
-		c.nextAt = now.Add(c.around(c.cfg.WatchInterval))
-		c.wakeToTake(now)
+	c.observe(now, e.Item, e.Revision)
+	if !c.writtenBySelf() {
+		c.heldUntil = time.Time{}
+		c.nextAt = now.Add(c.jitter(c.cfg.WatchInterval))
+		c.scheduleTakeover(now)
 		return
 	}
 	c.nextAt = now
-	if changed && !unproven.IsZero() {
-		c.extend(unproven) // a lost write took effect
+	if changed && !unknownSince.IsZero() {
+		c.extend(unknownSince) // a write with unknown result took effect
 	}
 }
 
-// see notes the item's content, and when its revision was first seen.
-func (c *Core) see(now time.Time, item Item, revision uint64) {
+// observe records the item, and when its revision was first seen.
+func (c *Core) observe(now time.Time, item Item, revision uint64) {
 	if !c.known || revision != c.revision {
-		c.since = now
+		c.revisionSince = now
 	}
 	if revision != c.revision {
-		c.unproven = time.Time{} // their condition can't hold any more
+		c.unknownSince = time.Time{} // writes conditional on the old one can't take effect now
 	}
 	c.known = true
 	c.item = item
 	c.revision = revision
 }
 
-// wakeToTake brings the next step forward to when the lease may be taken.
-func (c *Core) wakeToTake(now time.Time) {
-	if c.mayTake(now) {
+// scheduleTakeover moves the next operation forward to the time from which the
+// lease may be taken over.
+func (c *Core) scheduleTakeover(now time.Time) {
+	if c.mayTakeOver(now) {
 		c.nextAt = now
 		return
 	}
-	at := c.since.Add(c.cfg.Duration + c.cfg.Margin)
+	at := c.revisionSince.Add(c.cfg.Duration + c.cfg.Margin)
 	if at.Before(c.nextAt) {
 		c.nextAt = at
 	}
 }
 
-// extend counts the lease from when its write was sent.
+// extend extends the lease to Duration after its write was sent.
 func (c *Core) extend(sentAt time.Time) {
-	if until := sentAt.Add(c.cfg.Duration); until.After(c.until) {
-		c.until = until
+	if until := sentAt.Add(c.cfg.Duration); until.After(c.heldUntil) {
+		c.heldUntil = until
 	}
 }
 
+// written handles the response to a write.
 func (c *Core) written(now time.Time, e Written) {
 	if e.ID != c.pending.id || !c.pending.write {
-		return // given up before; a read has settled it
+		return // timed out earlier, so a read determines the result
 	}
 	op := c.pending
 	c.pending = operation{}
@@ -128,16 +134,16 @@
 	}
 	switch e.Result {
 	case WriteDone:
-		c.see(now, op.item, e.Revision)
+		c.observe(now, op.item, e.Revision)
 		c.extend(op.sentAt)
 		c.nextAt = op.sentAt.Add(c.cfg.RenewInterval)
 	case WriteFailed:
-		c.nextAt = now.Add(c.around(c.cfg.RetryInterval))
+		c.nextAt = now.Add(c.jitter(c.cfg.RetryInterval))
 	case WriteUnknown:
-		c.doubt(op.sentAt)
+		c.recordUnknown(op.sentAt)
 		c.nextAt = now
 	case WriteRefused:
-		c.known = false // look again
+		c.known = false // the item has changed: read it again
 		c.nextAt = now
 	}
 }
