--- a/coordination/freshness/core.go
+++ b/coordination/freshness/core.go
@@ -22,8 +22,8 @@
 }
 
 // Core is the state machine that keeps and forwards the proofs of one node. It takes
-// core.Tick, core.PeerUp, core.PeerDown, core.Received, Read, InForce and Met. It is not
-// safe for concurrent use.
+// core.Tick, core.PeerUp, core.PeerDown, core.Received, Read, InForce and EpochSeen. It is
+// not safe for concurrent use.
 type Core struct {
 	cfg Config
 	now time.Time
@@ -46,8 +46,9 @@
 	current proof
 	// pending holds the proofs of versions that are not in force yet, in ascending order of
 	// both version and moment.
-	pending  []proof
-	peers    map[model.NodeID]*peer
+	pending []proof
+	peers   map[model.NodeID]*peer
+	// reported is the last change reported, without Advanced and From.
 	reported Changed
 }
 
@@ -85,12 +86,12 @@
 	case core.Received:
 		return c.received(ev.From, ev.Message)
 	case Read:
-		c.observeEpoch(ev.Life)
+		c.observeEpoch(ev.Epoch)
 		return c.accept(proof{version: ev.Version, moment: ev.Began})
 	case InForce:
 		return c.inForce(ev.Version)
-	case Met:
-		c.observeEpoch(ev.Life)
+	case EpochSeen:
+		c.observeEpoch(ev.Epoch)
 	}
 	return false
 }
@@ -184,6 +185,6 @@
 		return
 	}
 	c.reported = t
-	t.Raised, t.From = advanced, c.current.from
+	t.Advanced, t.From = advanced, c.current.from
 	c.out = append(c.out, t)
 }
--- a/coordination/freshness/core_test.go
+++ b/coordination/freshness/core_test.go
@@ -302,7 +302,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _ := newCoreWithPeer(t)
-			c.Step(at, Read{Began: at.Add(-time.Minute), Version: 0, Life: 1})
+			c.Step(at, Read{Began: at.Add(-time.Minute), Version: 0, Epoch: 1})
 			now := at.Add(time.Second)
 			c.Step(now, core.Received{From: "p", Message: &m})
 			must.True(t, c.current.moment.IsZero())
@@ -346,19 +346,19 @@
 		ev    core.Event
 		epoch uint64
 	}{
-		"event":  {Met{Life: 2}, 2},
+		"event":  {EpochSeen{Epoch: 2}, 2},
 		"beacon": {core.Received{From: "p", Message: &message.ReaderBeacon{Reader: "p", Life: 2}}, 2},
-		"read":   {Read{Began: at.Add(time.Second), Version: 3, Life: 2}, 2},
+		"read":   {Read{Began: at.Add(time.Second), Version: 3, Epoch: 2}, 2},
 		"peer":   {core.Received{From: "p", Message: &message.Freshness{Stamp: 60, Life: 2}}, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _ := newCoreWithPeer(t)
-			c.Step(at, Read{Began: at, Version: 3, Life: 1})
+			c.Step(at, Read{Began: at, Version: 3, Epoch: 1})
 			must.Eq(t, at, c.current.moment)
 			c.Step(at.Add(time.Second), tc.ev)
-			c.Step(at.Add(4*time.Second), Read{Began: at.Add(2999 * time.Millisecond), Version: 3, Life: tc.epoch})
+			c.Step(at.Add(4*time.Second), Read{Began: at.Add(2999 * time.Millisecond), Version: 3, Epoch: tc.epoch})
 			must.Eq(t, at, c.current.moment)
-			c.Step(at.Add(4*time.Second), Read{Began: at.Add(3 * time.Second), Version: 3, Life: tc.epoch})
+			c.Step(at.Add(4*time.Second), Read{Began: at.Add(3 * time.Second), Version: 3, Epoch: tc.epoch})
 			must.Eq(t, at.Add(3*time.Second), c.current.moment)
 		})
 	}
@@ -368,13 +368,13 @@
 // the first epoch from another source.
 func TestEpochFromAnotherSourceCountsAsFirst(t *testing.T) {
 	for name, ev := range map[string]core.Event{
-		"call":   Met{Life: 1},
+		"call":   EpochSeen{Epoch: 1},
 		"beacon": core.Received{From: "p", Message: &message.ReaderBeacon{Reader: "p", Life: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _ := newCoreWithPeer(t)
 			c.Step(at, ev)
-			c.Step(at.Add(time.Second), Read{Began: at.Add(time.Second), Version: 3, Life: 2})
+			c.Step(at.Add(time.Second), Read{Began: at.Add(time.Second), Version: 3, Epoch: 2})
 			must.True(t, c.current.moment.IsZero())
 		})
 	}
@@ -383,11 +383,11 @@
 // The settling time starts once per epoch, however often the epoch is reported.
 func TestRepeatedEpochDoesNotExtendSettling(t *testing.T) {
 	c, _ := newCoreWithPeer(t)
-	c.Step(at, Met{Life: 1})
-	c.Step(at, Met{Life: 2})
-	c.Step(at.Add(time.Second), Met{Life: 2})
-	c.Step(at.Add(time.Second), Read{Began: at.Add(time.Second), Version: 3, Life: 2})
-	c.Step(at.Add(2*time.Second), Read{Began: at.Add(2 * time.Second), Version: 3, Life: 2})
+	c.Step(at, EpochSeen{Epoch: 1})
+	c.Step(at, EpochSeen{Epoch: 2})
+	c.Step(at.Add(time.Second), EpochSeen{Epoch: 2})
+	c.Step(at.Add(time.Second), Read{Began: at.Add(time.Second), Version: 3, Epoch: 2})
+	c.Step(at.Add(2*time.Second), Read{Began: at.Add(2 * time.Second), Version: 3, Epoch: 2})
 	must.Eq(t, at.Add(2*time.Second), c.current.moment)
 }
 
@@ -422,8 +422,8 @@
 	f := newChain(3, 0)
 	f.wait = func(i int) time.Duration { return f.proofs[i].ReadWait() }
 	f.settle()
-	f.step(0, Met{Life: 1})
-	f.step(0, Met{Life: 2})
+	f.step(0, EpochSeen{Epoch: 1})
+	f.step(0, EpochSeen{Epoch: 2})
 	f.run(10 * time.Second)
 	must.Positive(t, slices.Min(f.minLeft))
 }
--- a/coordination/freshness/event.go
+++ b/coordination/freshness/event.go
@@ -13,9 +13,9 @@
 	// Version is the newest version that the store has returned: by this read or, if it
 	// brought no change, by the earlier reads that it continues; 0 if none was returned.
 	Version uint64
-	// Life is the store's epoch, which rises when the store is restored from an older copy;
+	// Epoch is the store's epoch, which rises when the store is restored from an older copy;
 	// 0 if the store has none.
-	Life uint64
+	Epoch uint64
 }
 
 // InForce reports that a version has come into force, after it was published to the
@@ -25,9 +25,9 @@
 	Version uint64
 }
 
-// Met reports an epoch of the store that any call, or another core, has returned; 0 for
-// none. The same epoch may be reported repeatedly.
-type Met struct{ Life uint64 }
+// EpochSeen reports an epoch of the store that any call, or another core, has returned; 0
+// for none. The same epoch may be reported repeatedly.
+type EpochSeen struct{ Epoch uint64 }
 
 // Event implements core.Event.
 func (Read) Event() {}
@@ -36,7 +36,7 @@
 func (InForce) Event() {}
 
 // Event implements core.Event.
-func (Met) Event() {}
+func (EpochSeen) Event() {}
 
 // Changed reports a change of what is proved about the version in force.
 type Changed struct {
@@ -45,10 +45,10 @@
 	Moment time.Time
 	// Behind is set when a newer version is known to exist.
 	Behind bool
-	// Raised is set when Moment is later than before. From is the peer that sent the proof;
-	// empty for the node's own reads of the store.
-	Raised bool
-	From   model.NodeID
+	// Advanced is set when Moment is later than before. From is the peer that sent the
+	// proof; empty for the node's own reads of the store.
+	Advanced bool
+	From     model.NodeID
 }
 
 // Action implements core.Action.
--- a/coordination/freshness/world_test.go
+++ b/coordination/freshness/world_test.go
@@ -259,7 +259,7 @@
 	}
 	w.reads[i] = read{}
 	w.hold(i, r.version)
-	w.step(i, Read{Began: r.began, Version: r.version, Life: r.epoch})
+	w.step(i, Read{Began: r.began, Version: r.version, Epoch: r.epoch})
 	return true
 }
 
--- a/internal/sidecar/freshness.go
+++ b/internal/sidecar/freshness.go
@@ -82,9 +82,9 @@
 func (l *loop) proofChanged(a freshness.Changed) {
 	l.proving.proof.Publish(a)
 	switch {
-	case a.Raised && a.From == "":
+	case a.Advanced && a.From == "":
 		l.metrics.GetOrCreateCounter(`jacinthgate_proofs_total{from="store"}`).Inc()
-	case a.Raised:
+	case a.Advanced:
 		l.metrics.GetOrCreateCounter(`jacinthgate_proofs_total{from="peer"}`).Inc()
 	}
 	l.watchProof()
--- a/internal/sidecar/reader.go
+++ b/internal/sidecar/reader.go
@@ -158,7 +158,7 @@
 		out.Version, out.Body = uint64(c.Config.Version), pack(c.Config.Body)
 		r.told = out.Version
 	}
-	out.proof = freshness.Read{Began: began, Version: r.told, Life: c.Life}
+	out.proof = freshness.Read{Began: began, Version: r.told, Epoch: c.Life}
 	return out
 }
 
--- a/internal/sidecar/restored.go
+++ b/internal/sidecar/restored.go
@@ -51,7 +51,7 @@
 
 // meet tells a life of the store that its client knows.
 func (l *loop) meet(now time.Time, life uint64) {
-	l.prove(freshness.Met{Life: life})
+	l.prove(freshness.EpochSeen{Epoch: life})
 	l.carryOut(now, l.lives.Step(now, restore.Told{Life: life}))
 }
 
