--- a/coordination/rollout/config.go
+++ b/coordination/rollout/config.go
@@ -2,90 +2,95 @@
 
 import "time"
 
-// Config are the parameters of roll-outs.
+// Config holds the parameters of roll-outs.
 type Config struct {
-	// ExposeShare is the largest part of a service's requests that a version may get
-	// that turns out bad, 0 to 1. Operators state it.
+	// ExposeShare is the largest fraction of a service's requests, 0 to 1, that a version may
+	// receive if it turns out bad. Operators set it.
 	ExposeShare float64
 }
 
 const (
-	// DefaultExposeShare stands where operators state none: what the first of them to
-	// order roll-outs state.
+	// DefaultExposeShare applies if the operators set no ExposeShare. It is the limit that
+	// the first operators to order roll-outs state.
 	DefaultExposeShare = 0.1
-	// canaryPart is the part of ExposeShare that is used before the verdict. The rest is
-	// for what is sent while all requests are being shifted and a version turns bad only
-	// then: at half of the share and 2,000 requests a second, some two seconds.
-	canaryPart = 0.5
-	// minCanaries is the number of backend servers that the canary's requests go to at
-	// least, where there are so many: with three, one that is faulty by itself can be
-	// told from a version that is bad.
+	// canaryShare is the fraction of ExposeShare that is used before the verdict. The rest is
+	// reserved for requests sent while all requests are being shifted, to a version that
+	// turns bad only then: at half of the share and 2,000 requests a second, it lasts about
+	// two seconds.
+	canaryShare = 0.5
+	// minCanaries is the minimum number of backend servers that receive the canary's
+	// requests, if the new version has as many. With three, a single faulty backend server
+	// can be distinguished from a bad version.
 	minCanaries = 3
-	// maxReporters bounds the nodes of each version whose counts are shared: 8 carry
-	// some hundred answers a second where backend servers have 10 slots.
+	// maxReporters is the maximum number of nodes of each version whose counts are shared.
+	// Eight of them serve about a hundred answers a second if backend servers have 10 slots.
 	maxReporters = 8
 )
 
 const (
-	// reportInterval is the time between two reports of a node. A verdict is due 5 s
-	// after the fiftieth bad answer; reports, their way over some links and the next
-	// comparison take about a second.
+	// reportInterval is the time between two reports of a node. A verdict is due 5 s after
+	// the fiftieth bad answer; the wait for the next report, its way over several links and
+	// the next comparison take about a second.
 	reportInterval = 400 * time.Millisecond
-	// newsInterval is the least time between two floods of reports at one node: those of
-	// several nodes go on together.
-	newsInterval = 150 * time.Millisecond
-	// judgeInterval is the time between two comparisons.
+	// reportFlushInterval is the minimum time between two forwardings of reports at one node,
+	// so that the reports of several nodes travel in one message.
+	reportFlushInterval = 150 * time.Millisecond
+	// judgeInterval is the time between two comparisons of the versions.
 	judgeInterval = 200 * time.Millisecond
-	// window is the time over which recent answers are compared besides all of them: a
-	// version may turn bad after a while.
-	window = 2500 * time.Millisecond
+	// recentWindow is the period of a second comparison, made besides the one over all
+	// answers: a version may turn bad after a while.
+	recentWindow = 2500 * time.Millisecond
 )
 
-// Parts of the time that the operators give a roll-out.
+// Points in time of a roll-out, as fractions of its order's Duration.
 const (
-	// canaryTime is how long a version is tried before all requests are shifted to it.
-	// The rest is for the shift and for a store that is away for a while.
-	canaryTime = 0.6
-	// latestShift is until when a shift may begin that waits for answers or for backend
-	// servers.
+	// canaryEnd is the earliest end of the canary phase. The time after it is for the shift
+	// and for a store that is unavailable for a while.
+	canaryEnd = 0.6
+	// latestShift is the time until which a shift may be put off for lack of answers or of
+	// backend servers.
 	latestShift = 0.8
-	// cautiousTime is how long at the most only requests are tried that may be sent
-	// again elsewhere.
-	cautiousTime = 0.25
+	// repeatableOnlyEnd is the latest time until which the canary receives repeatable
+	// requests only.
+	repeatableOnlyEnd = 0.25
 )
 
 const (
-	// settleTime is how long all requests have gone to the new version before the old
-	// backend servers may be stopped without a drain: what runs there has ended, as
-	// nearly all requests take less than two seconds.
+	// settleTime is how long all requests go to the new version before the old backend
+	// servers may be stopped without a drain. The requests running there have ended by then,
+	// as nearly all requests take less than two seconds.
 	settleTime = 2500 * time.Millisecond
-	// settlePart bounds it as a part of the roll-out's time.
-	settlePart = 6
-	// endedTime is how long after a success backend servers of other versions get nothing:
-	// the old ones are being stopped. Those that are there later have been started since.
-	endedTime = 10 * time.Second
-	// rankDelay is how much later each further node writes to the store what the first
-	// one should have written: a write takes some 10 ms, and 0.5 s with a slow store.
+	// settleDivisor limits the settle time to the order's Duration divided by it.
+	settleDivisor = 6
+	// oldExclusionTime is how long after a success the backend servers of other versions
+	// receive no requests, as the old ones are being stopped. Those present afterwards have
+	// been started since.
+	oldExclusionTime = 10 * time.Second
+	// rankDelay is the additional delay of each further node, in order of rank, before it
+	// writes to the store what the first one should have written. A write takes about 10 ms,
+	// and 0.5 s if the store is slow.
 	rankDelay = 700 * time.Millisecond
-	// maxRank bounds the nodes that wait for each other; the others wait as long as the
-	// last of them.
+	// maxRank is the largest rank of a node. All further nodes wait as long as the one with
+	// this rank.
 	maxRank = 8
-	// retryDelay is the time between two tries of one node to write.
+	// retryDelay is the delay before a node repeats a failed write.
 	retryDelay = time.Second
 )
 
-// Numbers of answers that a verdict needs.
+// Numbers of answers and slots required for a verdict.
 const (
-	// trustAnswers are the answers to requests that may be sent again after which
-	// others are tried too.
-	trustAnswers = 20
-	// shiftAnswers are the answers of the new version, over all sorts of work, and
-	// sortAnswers those of each sort, after which all requests may be shifted.
-	shiftAnswers = 30
-	sortAnswers  = 10
-	// busyAnswers are the answers of the old version from which a sort or a service
-	// counts as used: the new one has to have shown some as well.
-	busyAnswers = 100
-	// shiftSlots is the part of the old version's slots that the new one has to have.
-	shiftSlots = 0.5
+	// minRepeatableAnswers is the number of answers to repeatable requests after which the
+	// canary receives non-repeatable requests as well.
+	minRepeatableAnswers = 20
+	// minShiftAnswers is the number of the new version's answers, over all workloads, that is
+	// required before all requests are shifted; minWorkAnswers is the number for each
+	// workload.
+	minShiftAnswers = 30
+	minWorkAnswers  = 10
+	// inUseAnswers is the number of the old version's answers from which a workload or a
+	// service counts as in use, so that the new version must have answered it as well.
+	inUseAnswers = 100
+	// minSlotRatio is the minimum ratio of the new version's slots to the old version's
+	// before all requests are shifted.
+	minSlotRatio = 0.5
 )
--- a/coordination/rollout/core.go
+++ b/coordination/rollout/core.go
@@ -14,84 +14,88 @@
 	"github.com/jacinthgate/jacinthgate/state/rollout"
 )
 
-// Core runs the roll-outs of all services at one node. It takes core.Tick, core.PeerUp,
-// core.PeerDown, core.Received, restore.Restored, Ordered, Learned, Recorded, Counted and
-// Servers. It is not safe for concurrent use.
+// Core is the state machine of one node for the roll-outs of all services. Its events are
+// core.Tick, core.PeerUp, core.PeerDown, core.Received, restore.Restored, Ordered, Learned,
+// Recorded, Counted and Servers. It is not safe for concurrent use.
 type Core struct {
-	cfg         Config
-	self        model.NodeID
-	incarnation uint64
-	now         time.Time
-	out         []core.Action
-	changed     bool
-
-	table *rollout.Table
-	runs  map[string]*run
-	view  *endpoint.View
-	peers *peerset.Set
-	// life is the store's life since it came back from an older copy, at restoredAt: what it
-	// held of roll-outs may be gone. 0 before.
-	life       uint64
+	cfg            Config
+	self           model.NodeID
+	incarnation    uint64
+	now            time.Time
+	out            []core.Action
+	routingChanged bool
+
+	table    *rollout.Table
+	rollouts map[string]*localState
+	view     *endpoint.View
+	peers    *peerset.Set
+	// epoch is the store's epoch as of its last restore from an older copy, at restoredAt; the
+	// copy may lack records of roll-outs. It is 0 before the first restore.
+	epoch      uint64
 	restoredAt time.Time
-	// pending are the services whose entries are to be passed on, and news the reports,
-	// which were last passed on at newsAt.
-	pending map[string]bool
-	news    map[newsKey]news
-	// counted is the last count beside this node.
-	counted Counted
-	newsAt  time.Time
-	// reportAt and judgeAt are when these are due.
+	// pendingEntries holds the services whose entries are to be sent to the peers, and
+	// pendingReports the reports to be forwarded. Both were last sent at flushedAt.
+	pendingEntries map[string]bool
+	pendingReports map[reportKey]pendingReport
+	// counted is the latest count of the host's backend server.
+	counted   Counted
+	flushedAt time.Time
+	// reportAt and judgeAt are when the next report and the next comparison are due.
 	reportAt, judgeAt time.Time
 	sequence          uint64
 }
 
-// run is what this node does in one roll-out.
-type run struct {
-	revision  uint64
-	phase     rollout.Phase
-	allowance *Allowance
-	evidence  *evidence
-	cautious  bool
-	// ended says that the old version's backend servers have been stopped.
-	ended bool
-	// before is the count beside this node when it began to report of the backend server
-	// named instance.
-	before   []rollout.Tally
+// localState is this node's state in one roll-out.
+type localState struct {
+	revision       uint64
+	phase          rollout.Phase
+	allowance      *Allowance
+	evidence       *evidence
+	repeatableOnly bool
+	// exclusionOver is set once the old version's backend servers have had time to stop after
+	// a success, and backend servers of all versions may be used again.
+	exclusionOver bool
+	// baseline holds the tallies of the backend server named instance when this node began to
+	// report them. Reports contain what was counted since.
+	baseline []rollout.Tally
 	instance string
-	// phaseAt is when the phase began here, and eligibleAt when there has been something
-	// to write since.
-	phaseAt, eligibleAt time.Time
-	// row is the revision of the store's row, as far as it is known. It is not known at
-	// first: the refused write tells what the order replaces.
-	row     uint64
-	writing bool
-	retryAt time.Time
+	// phaseAt is when the phase began at this node, and dueSince since when the phase's next
+	// step has been due.
+	phaseAt, dueSince time.Time
+	// rowRevision is the last known revision of the store's row, or 0 if it is unknown, as it
+	// is at first. A write that expects no row is then refused and returns the row that the
+	// order replaces.
+	rowRevision uint64
+	writing     bool
+	retryAt     time.Time
 }
 
-// judged reports whether the versions are being compared.
-func (r *run) judged() bool { return r.phase == rollout.Canary || r.phase == rollout.Shifting }
+// comparing reports whether the versions are being compared.
+func (r *localState) comparing() bool {
+	return r.phase == rollout.Canary || r.phase == rollout.Shifting
+}
 
-// New returns the core of a node that knows of no roll-out.
+// New returns a Core without roll-outs. seed drives the random choice of peers.
 func New(cfg Config, self model.NodeID, incarnation, seed uint64) *Core {
 	if cfg.ExposeShare <= 0 {
 		cfg.ExposeShare = DefaultExposeShare
 	}
 	return &Core{
 		cfg: cfg, self: self, incarnation: incarnation,
-		table:   rollout.NewTable(),
-		runs:    make(map[string]*run),
-		peers:   peerset.New(seed),
-		pending: make(map[string]bool),
-		news:    make(map[newsKey]news),
+		table:          rollout.NewTable(),
+		rollouts:       make(map[string]*localState),
+		peers:          peerset.New(seed),
+		pendingEntries: make(map[string]bool),
+		pendingReports: make(map[reportKey]pendingReport),
 	}
 }
 
 // Step takes one event and returns the actions it leads to.
 func (c *Core) Step(now time.Time, ev core.Event) []core.Action {
-	c.out, c.now, c.changed = nil, now, false
+	c.out, c.now, c.routingChanged = nil, now, false
 	c.handle(ev)
 	c.flush()
-	if c.changed {
+	if c.routingChanged {
 		c.act(Changed{})
 	}
 	return c.out
@@ -122,7 +126,7 @@
 		c.counted = ev
 	case Servers:
 		c.view = ev.View
-		c.changed = c.changed || c.table.Len() > 0
+		c.routingChanged = c.routingChanged || c.table.Len() > 0
 	}
 }
 
@@ -133,7 +137,7 @@
 			c.merge(e, false)
 		}
 		for i := range m.Reports {
-			c.take(from, m.Reports[i])
+			c.mergeReport(from, m.Reports[i])
 		}
 	case *message.RolloutsDigest:
 		if m.Hash != c.table.Digest() {
@@ -142,17 +146,18 @@
 	}
 }
 
-// merge takes what is known of a roll-out, and passes on what is news. found says that
-// this node has found the fault that stops it.
-func (c *Core) merge(e rollout.Entry, found bool) {
+// merge merges an entry into the table. If that changes the table, it schedules the entry for
+// the peers and adopts a new order or phase. foundHere is set if this node has found the
+// fault that stops the roll-out.
+func (c *Core) merge(e rollout.Entry, foundHere bool) {
 	service := e.Order.Service
 	same := c.table.Same(c.now, e)
 	if !c.table.Merge(c.now, e) {
 		return
 	}
-	c.passOn(service)
+	c.markPending(service)
 	after, _ := c.table.Get(c.now, service)
-	r := c.runs[service]
+	r := c.rollouts[service]
 	switch {
 	case r != nil && same:
 		r.revision = after.Order.Revision
@@ -160,69 +165,70 @@
 		r = c.begin(after)
 	}
 	if r.phase != after.Phase {
-		r.phase, r.phaseAt, r.eligibleAt = after.Phase, c.now, c.now
-		c.act(Turned{Entry: after, FoundHere: found})
+		r.phase, r.phaseAt, r.dueSince = after.Phase, c.now, c.now
+		c.act(Turned{Entry: after, FoundHere: foundHere})
 	}
 }
 
-// passOn notes that something is news of a service's roll-out.
-func (c *Core) passOn(service string) {
-	c.pending[service] = true
-	c.changed = true
+// markPending schedules a service's entry for the peers.
+func (c *Core) markPending(service string) {
+	c.pendingEntries[service] = true
+	c.routingChanged = true
 }
 
-// begin starts with a new order.
-func (c *Core) begin(e rollout.Entry) *run {
-	r := &run{
-		revision: e.Order.Revision, phase: e.Phase, cautious: true,
+// begin replaces the local state of a service's roll-out by that of a new order.
+func (c *Core) begin(e rollout.Entry) *localState {
+	r := &localState{
+		revision: e.Order.Revision, phase: e.Phase, repeatableOnly: true,
 		allowance: newAllowance(c.cfg.ExposeShare), evidence: newEvidence(),
-		phaseAt: c.now, eligibleAt: c.now,
+		phaseAt: c.now, dueSince: c.now,
 	}
-	c.runs[e.Order.Service] = r
+	c.rollouts[e.Order.Service] = r
 	c.act(Turned{Entry: e})
 	return r
 }
 
-// take takes a report and passes it on where it is news.
-func (c *Core) take(from model.NodeID, r rollout.Report) {
-	run := c.runs[r.Service]
-	if run == nil || run.revision != r.Revision || run.phase.Final() || !r.Valid() {
+// mergeReport adds a report to the evidence of its roll-out and, if it is new, schedules it
+// for the other peers.
+func (c *Core) mergeReport(from model.NodeID, r rollout.Report) {
+	state := c.rollouts[r.Service]
+	if state == nil || state.revision != r.Revision || state.phase.Final() || !r.Valid() {
 		return
 	}
-	if run.evidence.merge(c.now, r) {
-		c.news[newsKey{r.Service, reporter{r.Reporter, r.Incarnation}}] = news{report: r, from: from}
+	if state.evidence.merge(c.now, r) {
+		c.pendingReports[reportKey{r.Service, reporter{r.Reporter, r.Incarnation}}] = pendingReport{report: r, from: from}
 	}
 }
 
 func (c *Core) tick() {
-	if len(c.runs) == 0 {
+	if len(c.rollouts) == 0 {
 		return
 	}
 	if !c.now.Before(c.reportAt) {
 		c.reportAt = c.now.Add(reportInterval)
-		c.report()
+		c.reportCounts()
 	}
 	judge := !c.now.Before(c.judgeAt)
 	if judge {
 		c.judgeAt = c.now.Add(judgeInterval)
 	}
-	for _, service := range slices.Sorted(maps.Keys(c.runs)) {
-		r := c.runs[service]
+	for _, service := range slices.Sorted(maps.Keys(c.rollouts)) {
+		r := c.rollouts[service]
 		if !r.phase.Final() {
 			c.decide(service, r, judge)
 		}
-		c.keep(service, r)
-		if r.phase == rollout.Succeeded && !r.ended && c.now.Sub(r.phaseAt) >= endedTime {
-			r.ended, c.changed = true, true
+		c.rewriteRecord(service, r)
+		if r.phase == rollout.Succeeded && !r.exclusionOver && c.now.Sub(r.phaseAt) >= oldExclusionTime {
+			r.exclusionOver, c.routingChanged = true, true
 		}
 	}
-	c.compare()
+	c.sendDigest()
 }
 
-// Lanes returns which backend servers requests may be sent to.
+// Lanes returns the lanes of all services that have had a roll-out.
 func (c *Core) Lanes() *Lanes {
-	l := &Lanes{services: make(map[string]*Lane, len(c.runs))}
-	for service, r := range c.runs {
+	l := &Lanes{services: make(map[string]*Lane, len(c.rollouts))}
+	for service, r := range c.rollouts {
 		e, _ := c.table.Get(c.now, service)
 		var servers []endpoint.Record
 		if c.view != nil {
@@ -233,9 +239,9 @@
 	return l
 }
 
-// Running reports whether a service's roll-out has not ended.
+// Running reports whether a service has a roll-out that has not ended.
 func (c *Core) Running(service string) bool {
-	r := c.runs[service]
+	r := c.rollouts[service]
 	return r != nil && !r.phase.Final()
 }
 
--- a/coordination/rollout/core_test.go
+++ b/coordination/rollout/core_test.go
@@ -19,8 +19,8 @@
 	"github.com/jacinthgate/jacinthgate/state/store"
 )
 
-// fleet is nodes in virtual time, each with a core, a backend server and callers, linked
-// with the next two on a ring, and the store.
+// fleet simulates nodes in virtual time, each with a core, a backend server and callers, and
+// the store. Each node is linked with the next two on a ring.
 type fleet struct {
 	t     *testing.T
 	rng   *rand.Rand
@@ -30,16 +30,17 @@
 	links map[[2]model.NodeID]bool
 	queue []envelope
 	store storeRow
-	// away says that the store answers nobody, and cutOff that it doesn't answer a node.
-	away   bool
-	cutOff map[model.NodeID]bool
-	// behaves is how the new version behaves, from a time after the order on.
-	behaves func(at time.Duration, w sort) version
-	// perNode is the number of requests that a node sends in each tick.
-	perNode float64
+	// storeDown makes the writes of all nodes to the store fail, and storeCutOff those of
+	// single nodes.
+	storeDown   bool
+	storeCutOff map[model.NodeID]bool
+	// behaviour returns how the new version behaves at a time after the order.
+	behaviour func(at time.Duration, w workload) version
+	// requestsPerTick is the number of requests that each node sends in each tick.
+	requestsPerTick float64
 
 	reached, exposed, bad int
-	fiftieth              time.Time // of the bad answers
+	fiftiethBad           time.Time // time of the fiftieth bad answer
 	lastExposed           time.Time
 	phases                map[model.NodeID]rollout.Phase
 }
@@ -50,7 +51,7 @@
 	meter  Meter
 	lanes  *Lanes
 	dead   bool
-	owed   float64
+	due    float64
 }
 
 type envelope struct {
@@ -63,7 +64,7 @@
 type storeRow struct {
 	held     *rollout.Entry
 	revision uint64
-	life     uint64
+	epoch    uint64
 	writes   int
 }
 
@@ -73,16 +74,16 @@
 	svc      = "booking"
 )
 
-// newFleet makes nodes of which the last ones have the new version.
-func newFleet(t *testing.T, seed uint64, old, fresh int) *fleet {
+// newFleet returns a fleet of nodes, of which the last newCount have the new version.
+func newFleet(t *testing.T, seed uint64, oldCount, newCount int) *fleet {
 	f := &fleet{
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_000_000, 0), start: time.Unix(1_000_000, 0),
-		links: make(map[[2]model.NodeID]bool), cutOff: make(map[model.NodeID]bool), perNode: 6,
+		links: make(map[[2]model.NodeID]bool), storeCutOff: make(map[model.NodeID]bool), requestsPerTick: 6,
 		phases: make(map[model.NodeID]rollout.Phase),
 	}
-	for i := range old + fresh {
+	for i := range oldCount + newCount {
 		v := "v1"
-		if i >= old {
+		if i >= oldCount {
 			v = "v2"
 		}
 		m := &member{record: endpoint.Record{
@@ -107,7 +108,7 @@
 	f.step(b, core.PeerUp{Record: x})
 }
 
-// publish tells all nodes which backend servers there are.
+// publish sends a view of the live backend servers to all nodes.
 func (f *fleet) publish() {
 	table := endpoint.NewTable()
 	for _, m := range f.nodes {
@@ -121,7 +122,7 @@
 	}
 }
 
-// order lets a node read an order of the operators.
+// order delivers an order of the operators, with its Duration in seconds, to a node.
 func (f *fleet) order(at int, seconds float64) {
 	f.step(at, Ordered{Order: rollout.Order{
 		Service: svc, Target: "v2", Revision: 10, Duration: time.Duration(seconds * float64(time.Second)),
@@ -154,24 +155,24 @@
 	return slices.IndexFunc(f.nodes, func(m *member) bool { return m.record.Node == n })
 }
 
-// write is one write to the store.
+// write handles one write to the store.
 func (f *fleet) write(i int, a Record) {
 	f.store.writes++
-	if f.away || f.cutOff[f.nodes[i].record.Node] {
+	if f.storeDown || f.storeCutOff[f.nodes[i].record.Node] {
 		f.step(i, Recorded{Service: svc, Err: &noAnswer{}})
 		return
 	}
-	if a.Row != 0 && store.Life(a.Row) != f.store.life {
+	if a.Row != 0 && store.Life(a.Row) != f.store.epoch {
 		f.step(i, Recorded{Service: svc, Err: &noAnswer{}, Outdated: true})
 		return
 	}
 	if a.Row == f.store.revision {
 		if f.store.held != nil && f.store.held.Phase.Final() {
-			must.Eq(f.t, f.store.held.Phase, a.Entry.Phase, must.Sprint("a verdict is taken back"))
+			must.Eq(f.t, f.store.held.Phase, a.Entry.Phase, must.Sprint("a recorded verdict must not change"))
 		}
 		e := a.Entry
-		e.Kept = f.store.life
-		f.store.held, f.store.revision = &e, store.InLife(f.store.life, store.Transaction(f.store.revision)+1)
+		e.Kept = f.store.epoch
+		f.store.held, f.store.revision = &e, store.InLife(f.store.epoch, store.Transaction(f.store.revision)+1)
 	}
 	held := *f.store.held
 	f.step(i, Recorded{Service: svc, Held: &held, Row: f.store.revision})
@@ -181,7 +182,7 @@
 
 func (*noAnswer) Error() string { return "no answer" }
 
-// run lets time pass.
+// run advances the virtual time by d, tick by tick.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(tickTime) {
 		f.serve()
@@ -201,17 +202,17 @@
 	}
 }
 
-// serve lets the callers of each node send their requests.
+// serve sends the requests of each node for one tick.
 func (f *fleet) serve() {
 	for _, m := range f.nodes {
-		for m.owed += f.perNode; m.owed >= 1 && !m.dead; m.owed-- {
+		for m.due += f.requestsPerTick; m.due >= 1 && !m.dead; m.due-- {
 			f.request(m)
 		}
 	}
 }
 
 func (f *fleet) request(m *member) {
-	s := sorts[f.rng.IntN(len(sorts))]
+	s := workloads[f.rng.IntN(len(workloads))]
 	lane := m.lanes.Of(svc)
 	servers := f.records()
 	canary := false
@@ -236,28 +237,28 @@
 	if to.record.Version == "v2" {
 		f.exposed++
 		f.lastExposed = f.now
-		v = f.behaves(f.now.Sub(f.start), s)
+		v = f.behaviour(f.now.Sub(f.start), s)
 	}
 	f.answer(to, s, v)
 }
 
-func (f *fleet) answer(to *member, s sort, v version) {
+func (f *fleet) answer(to *member, s workload, v version) {
 	if f.rng.Float64() < v.fails {
 		to.meter.Failed(s.work)
-		f.isBad()
+		f.countBad()
 		return
 	}
 	took := s.mean
 	if f.rng.Float64() < v.slow {
 		took = time.Duration(float64(took) * v.times)
-		f.isBad()
+		f.countBad()
 	}
 	to.meter.Answered(s.work, time.Duration(float64(took)*(0.7+0.6*f.rng.Float64())), false)
 }
 
-func (f *fleet) isBad() {
+func (f *fleet) countBad() {
 	if f.bad++; f.bad == 50 {
-		f.fiftieth = f.now
+		f.fiftiethBad = f.now
 	}
 }
 
@@ -271,38 +272,39 @@
 	return all
 }
 
-// checkExposure checks what the operators bound of a bad version.
+// checkExposure checks the operators' limits on the requests to a bad version.
 func (f *fleet) checkExposure() {
 	f.t.Helper()
-	must.LessEq(f.t, 0.1*float64(f.reached)+50, float64(f.exposed), must.Sprint("part of all requests"))
+	must.LessEq(f.t, 0.1*float64(f.reached)+50, float64(f.exposed), must.Sprint("requests to the bad version against its part of all requests"))
 	if f.bad >= 50 {
-		must.LessEq(f.t, 5*time.Second, f.lastExposed.Sub(f.fiftieth), must.Sprint("requests after the fiftieth bad answer"))
+		must.LessEq(f.t, 5*time.Second, f.lastExposed.Sub(f.fiftiethBad), must.Sprint("time from the fiftieth bad answer to the last request"))
 	}
 }
 
-// bad versions of the kinds that the operators name: at once, slow, later, under load, on one route.
-var badVersions = map[string]func(at time.Duration, s sort) version{
-	"errors": func(time.Duration, sort) version { return version{fails: 0.5} },
-	"slow":   func(time.Duration, sort) version { return version{slow: 0.5, times: 8} },
-	"later": func(at time.Duration, _ sort) version {
+// badVersions are the kinds of bad versions that the operators name: failing at once, slow,
+// bad only later or under load, or on one route only.
+var badVersions = map[string]func(at time.Duration, s workload) version{
+	"errors": func(time.Duration, workload) version { return version{fails: 0.5} },
+	"slow":   func(time.Duration, workload) version { return version{slow: 0.5, times: 8} },
+	"later": func(at time.Duration, _ workload) version {
 		if at < 6*time.Second {
 			return version{}
 		}
 		return version{fails: 0.5}
 	},
-	"later, slow": func(at time.Duration, _ sort) version {
+	"later, slow": func(at time.Duration, _ workload) version {
 		if at < 6*time.Second {
 			return version{}
 		}
 		return version{slow: 0.5, times: 8}
 	},
-	"when all is shifted": func(at time.Duration, _ sort) version {
+	"when all is shifted": func(at time.Duration, _ workload) version {
 		if at < 10*time.Second {
 			return version{}
 		}
 		return version{fails: 0.5}
 	},
-	"one sort of work": func(_ time.Duration, s sort) version {
+	"one sort of work": func(_ time.Duration, s workload) version {
 		if s.work.Kind != model.KindNonRepeatable {
 			return version{}
 		}
@@ -310,10 +312,12 @@
 	},
 }
 
-// A bad version gets a tenth of the requests at the most, nothing 5 s after its fiftieth bad answer,
-// and the operators read that it is reverted, whatever else happens.
+// A bad version receives at most a tenth of the requests and none later than 5 s after its
+// fiftieth bad answer, and the operators read that it is reverted, despite a partition,
+// crashed nodes or an outage of the store. The seed follows from the lengths of the cases'
+// names.
 func TestBadVersionIsReverted(t *testing.T) {
-	troubles := map[string]func(f *fleet){
+	disturbances := map[string]func(f *fleet){
 		"calm": func(f *fleet) { f.run(20 * time.Second) },
 		"a node is cut off from the others": func(f *fleet) {
 			f.run(4 * time.Second)
@@ -327,20 +331,20 @@
 		},
 		"the store is away from the third second on": func(f *fleet) {
 			f.run(3 * time.Second)
-			f.away = true
+			f.storeDown = true
 			f.run(15 * time.Second)
-			f.away = false
+			f.storeDown = false
 			f.run(5 * time.Second)
 		},
 	}
-	for kind, behaves := range badVersions {
-		for trouble, play := range troubles {
-			t.Run(kind+", "+trouble, func(t *testing.T) {
+	for kind, behaviour := range badVersions {
+		for disturbance, scenario := range disturbances {
+			t.Run(kind+", "+disturbance, func(t *testing.T) {
 				t.Parallel()
-				f := newFleet(t, uint64(len(kind+trouble)), 18, 9)
-				f.behaves = behaves
+				f := newFleet(t, uint64(len(kind+disturbance)), 18, 9)
+				f.behaviour = behaviour
 				f.order(0, 16)
-				play(f)
+				scenario(f)
 				f.checkExposure()
 				must.NotNil(t, f.store.held)
 				must.Eq(t, rollout.Reverted, f.store.held.Phase)
@@ -349,20 +353,20 @@
 	}
 }
 
-// killFirst kills the nodes whose turn it is first.
+// killFirst kills the n nodes whose turn to write comes first.
 func (f *fleet) killFirst(n int) {
 	order := slices.Clone(f.nodes)
-	slices.SortFunc(order, func(a, b *member) int { return cmp.Compare(lot(10, a.record.Node), lot(10, b.record.Node)) })
+	slices.SortFunc(order, func(a, b *member) int { return cmp.Compare(rankHash(10, a.record.Node), rankHash(10, b.record.Node)) })
 	for _, m := range order[:n] {
 		m.dead = true
 	}
 	f.publish()
 }
 
-// cut ends all links of a node, and its way to the store.
+// cut removes all links of a node and its connection to the store.
 func (f *fleet) cut(i int) {
 	n := f.nodes[i].record.Node
-	f.cutOff[n] = true
+	f.storeCutOff[n] = true
 	for pair := range maps.Clone(f.links) {
 		if pair[0] == n || pair[1] == n {
 			delete(f.links, pair)
@@ -370,17 +374,17 @@
 	}
 }
 
-// A good version succeeds before its time is over, also where the store is away for a
-// while, and serves all requests before.
+// A good version succeeds within its Duration, even if the store is down for a while or nodes
+// crash, and receives all requests by then.
 func TestGoodVersionSucceedsInTime(t *testing.T) {
-	good := func(time.Duration, sort) version { return version{} }
-	for name, play := range map[string]func(f *fleet){
+	soundVersion := func(time.Duration, workload) version { return version{} }
+	for name, scenario := range map[string]func(f *fleet){
 		"calm": func(f *fleet) { f.run(14 * time.Second) },
 		"the store is away for a quarter of the time": func(f *fleet) {
 			f.run(9 * time.Second)
-			f.away = true
+			f.storeDown = true
 			f.run(4 * time.Second)
-			f.away = false
+			f.storeDown = false
 			f.run(2500 * time.Millisecond)
 		},
 		"the first nodes in turn are killed": func(f *fleet) {
@@ -392,9 +396,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, 1, 12, 12)
-			f.behaves = good
+			f.behaviour = soundVersion
 			f.order(0, 16)
-			play(f)
+			scenario(f)
 			must.Eq(t, rollout.Succeeded, f.store.held.Phase)
 			for _, m := range f.nodes {
 				for _, r := range m.lanes.Of(svc).Main {
@@ -406,10 +410,10 @@
 	}
 }
 
-// Backend servers that are started after a success are used, whatever their version.
+// Backend servers started after a success are used, whatever their version.
 func TestLaterBackendServersAreUsedAfterASuccess(t *testing.T) {
 	f := newFleet(t, 1, 12, 12)
-	f.behaves = func(time.Duration, sort) version { return version{} }
+	f.behaviour = func(time.Duration, workload) version { return version{} }
 	f.order(0, 16)
 	f.run(15 * time.Second)
 	must.Eq(t, rollout.Succeeded, f.store.held.Phase)
@@ -420,21 +424,21 @@
 	must.Len(t, 24, f.nodes[1].lanes.Of(svc).Main)
 }
 
-// A version without enough backend servers doesn't take over.
-func TestVersionWithoutRoomIsReverted(t *testing.T) {
+// Requests are not shifted to a version with too few slots.
+func TestVersionWithTooFewSlotsIsReverted(t *testing.T) {
 	f := newFleet(t, 1, 18, 4)
-	f.behaves = func(time.Duration, sort) version { return version{} }
+	f.behaviour = func(time.Duration, workload) version { return version{} }
 	f.order(0, 16)
 	f.run(18 * time.Second)
 	must.Eq(t, rollout.Reverted, f.store.held.Phase)
 	f.checkExposure()
 }
 
-// An order of a roll-out that has ended long ago is read again after all nodes were
-// restarted: what the store holds of its end stands.
+// All nodes restart and read the order of a roll-out that ended long ago. The result held by
+// the store stands, and the roll-out doesn't begin again.
 func TestEndedRolloutIsNotBegunAgain(t *testing.T) {
 	f := newFleet(t, 1, 10, 4)
-	f.behaves = func(time.Duration, sort) version { return version{fails: 0.5} }
+	f.behaviour = func(time.Duration, workload) version { return version{fails: 0.5} }
 	f.store = storeRow{revision: 5, held: &rollout.Entry{
 		Order: rollout.Order{Service: svc, Target: "v2", Revision: 10, Duration: 16 * time.Second},
 		Phase: rollout.Reverted, Age: time.Hour, Reason: "failures",
@@ -445,11 +449,11 @@
 	must.Eq(t, rollout.Reverted, f.store.held.Phase)
 }
 
-// Where all old backend servers are gone, a version that isn't trusted gets no more for
-// that.
+// A version on trial receives no more than its allowance when all old backend servers are
+// gone.
 func TestUntrustedVersionGetsItsPartOnlyWhenTheOthersAreGone(t *testing.T) {
 	f := newFleet(t, 1, 18, 9)
-	f.behaves = func(time.Duration, sort) version { return version{} }
+	f.behaviour = func(time.Duration, workload) version { return version{} }
 	f.order(0, 30)
 	f.run(3 * time.Second)
 	for _, m := range f.nodes[:18] {
@@ -462,48 +466,48 @@
 	must.LessEq(t, before+2*len(f.nodes), f.exposed)
 }
 
-// A later order replaces the one before it, whose version gets nothing any more.
+// A later order replaces the one before it, whose version receives no more requests.
 func TestLaterOrderReplacesTheFormer(t *testing.T) {
 	f := newFleet(t, 1, 12, 6)
-	f.behaves = func(time.Duration, sort) version { return version{} }
+	f.behaviour = func(time.Duration, workload) version { return version{} }
 	f.order(0, 30)
 	f.run(3 * time.Second)
 	must.Positive(t, f.exposed)
 	f.step(5, Ordered{Order: rollout.Order{Service: svc, Target: "v3", Revision: 20, Duration: 30 * time.Second}})
-	f.away = true // nobody tells how the former has ended
+	f.storeDown = true // the store can't return how the former order ended
 	f.run(2 * tickTime)
 	before := f.exposed
 	f.run(2 * time.Second)
 	must.Eq(t, before, f.exposed)
-	f.away = false
+	f.storeDown = false
 	f.run(3 * time.Second)
 	must.Eq(t, before, f.exposed)
 	must.Eq(t, "v3", f.store.held.Order.Target)
 }
 
-// Counts that nobody compares any more aren't made: with the store away after a verdict
-// they would be held and passed on for as long as it is.
-func TestNobodyCountsAfterAVerdict(t *testing.T) {
+// Nodes stop reporting counts after a verdict, when no node compares them any more. Otherwise
+// they would hold and forward reports for as long as the store is down.
+func TestReportsStopAfterAVerdict(t *testing.T) {
 	f := newFleet(t, 1, 18, 9)
-	f.behaves = func(time.Duration, sort) version { return version{fails: 0.5} }
+	f.behaviour = func(time.Duration, workload) version { return version{fails: 0.5} }
 	f.order(0, 16)
 	f.run(500 * time.Millisecond)
-	f.away = true
+	f.storeDown = true
 	f.run(6 * time.Second)
 	for _, p := range f.phases {
 		must.Eq(t, rollout.Stopped, p)
 	}
-	held := f.marks()
+	held := f.snapshotCount()
 	f.run(10 * time.Second)
-	must.Eq(t, held, f.marks())
+	must.Eq(t, held, f.snapshotCount())
 }
 
-// marks counts the reports that all nodes hold.
-func (f *fleet) marks() int {
+// snapshotCount returns the number of snapshots of reports that all nodes hold.
+func (f *fleet) snapshotCount() int {
 	n := 0
 	for _, m := range f.nodes {
-		for _, s := range m.core.runs[svc].evidence.series {
-			n += len(s.marks)
+		for _, s := range m.core.rollouts[svc].evidence.series {
+			n += len(s.snapshots)
 		}
 	}
 	return n
--- a/coordination/rollout/decide.go
+++ b/coordination/rollout/decide.go
@@ -12,56 +12,60 @@
 	"github.com/jacinthgate/jacinthgate/state/rollout"
 )
 
-// The reasons for which a version is stopped, besides a fault.
+// Reasons for stopping a version, besides a Fault.
 const (
-	reasonNoServers = "too few backend servers"
-	reasonUntried   = "too few answers"
-	reasonLate      = "no time left"
+	reasonFewServers = "too few backend servers"
+	reasonFewAnswers = "too few answers"
+	reasonTimeout    = "no time left"
 )
 
-// decide takes one roll-out as far as it can get now.
-func (c *Core) decide(service string, r *run, judge bool) {
+// decide advances one roll-out as far as its state allows. judge is set when the next
+// comparison of the versions is due.
+func (c *Core) decide(service string, r *localState, judge bool) {
 	e, _ := c.table.Get(c.now, service)
-	if judge && r.judged() {
-		c.look(r, &e)
+	if judge && r.comparing() {
+		c.judgeVersions(r, &e)
 	}
 	switch r.phase {
 	case rollout.Pending:
-		c.record(r, e, rollout.Canary)
+		c.writeInTurn(r, e, rollout.Canary)
 	case rollout.Canary:
-		c.canary(r, &e)
+		c.endCanary(r, &e)
 	case rollout.Shifting:
-		if c.now.Sub(r.phaseAt) >= settle(&e.Order) {
-			c.record(r, e, rollout.Succeeded)
+		if c.now.Sub(r.phaseAt) >= settleDelay(&e.Order) {
+			c.writeInTurn(r, e, rollout.Succeeded)
 		}
 	case rollout.Stopped:
-		c.record(r, e, rollout.Reverted)
+		c.writeInTurn(r, e, rollout.Reverted)
 	}
 }
 
-// untilDue returns how long after an order a part of its time is over.
-func untilDue(o *rollout.Order, part float64) time.Duration {
-	return time.Duration(part * float64(o.Duration))
+// fractionOf returns a fraction of an order's Duration.
+func fractionOf(o *rollout.Order, fraction float64) time.Duration {
+	return time.Duration(fraction * float64(o.Duration))
 }
 
-// settle is how long all requests go to the new version before the operators are told.
-func settle(o *rollout.Order) time.Duration { return min(settleTime, o.Duration/settlePart) }
+// settleDelay returns how long all requests go to the new version before its success is
+// recorded.
+func settleDelay(o *rollout.Order) time.Duration { return min(settleTime, o.Duration/settleDivisor) }
 
-// look compares the versions.
-func (c *Core) look(r *run, e *rollout.Entry) {
-	found := r.evidence.judge(c.now, e.Order.Target)
+// judgeVersions compares the versions. It stops the new one if it has a fault; otherwise it
+// admits non-repeatable requests to the canary once enough repeatable ones were answered, or
+// repeatableOnlyEnd is reached.
+func (c *Core) judgeVersions(r *localState, e *rollout.Entry) {
+	found := r.evidence.findFault(c.now, e.Order.Target)
 	if found.fault != NoFault {
 		c.advance(e, rollout.Stopped, describe(&found), true)
 		return
 	}
-	if p := r.evidence.progress(c.now, e.Order.Target); r.cautious &&
-		(p.trusted() || e.Age >= untilDue(&e.Order, cautiousTime)) {
-		r.cautious = false
-		c.changed = true
+	if p := r.evidence.progress(c.now, e.Order.Target); r.repeatableOnly &&
+		(p.allowsNonRepeatable() || e.Age >= fractionOf(&e.Order, repeatableOnlyEnd)) {
+		r.repeatableOnly = false
+		c.routingChanged = true
 	}
 }
 
-// describe says what was found, for people.
+// describe returns the text of a finding for the operators.
 func describe(f *finding) string {
 	var failed, answers int
 	for i := range f.Target {
@@ -72,33 +76,34 @@
 		f.fault, f.Work.Kind, answers, failed, f.Base.Answers, f.Base.Failed)
 }
 
-// canary ends the canary where its time has come.
-func (c *Core) canary(r *run, e *rollout.Entry) {
+// endCanary ends the canary phase when it is due: with the shift if the new version has
+// enough answers and slots, otherwise with a stop at the latest time for it.
+func (c *Core) endCanary(r *localState, e *rollout.Entry) {
 	o := &e.Order
-	if e.Age < untilDue(o, canaryTime) {
+	if e.Age < fractionOf(o, canaryEnd) {
 		return
 	}
-	last := e.Age >= untilDue(o, latestShift)
+	overdue := e.Age >= fractionOf(o, latestShift)
 	p := r.evidence.progress(c.now, o.Target)
-	tried, room := p.enough(last), c.room(o)
+	enoughAnswers, enoughSlots := p.enough(overdue), c.hasSlots(o)
 	switch {
 	case e.Age >= o.Duration:
-		c.advance(e, rollout.Stopped, reasonLate, false)
-	case tried && room:
-		if c.myTurn(r, c.now) {
+		c.advance(e, rollout.Stopped, reasonTimeout, false)
+	case enoughAnswers && enoughSlots:
+		if c.ownTurn(r, c.now) {
 			c.advance(e, rollout.Shifting, "", false)
 		}
-	case last && !room:
-		c.advance(e, rollout.Stopped, reasonNoServers, false)
-	case last:
-		c.advance(e, rollout.Stopped, reasonUntried, false)
+	case overdue && !enoughSlots:
+		c.advance(e, rollout.Stopped, reasonFewServers, false)
+	case overdue:
+		c.advance(e, rollout.Stopped, reasonFewAnswers, false)
 	default:
-		r.eligibleAt = c.now
+		r.dueSince = c.now
 	}
 }
 
-// room reports whether the new version has backend servers for all requests.
-func (c *Core) room(o *rollout.Order) bool {
+// hasSlots reports whether the new version has enough slots to serve all requests.
+func (c *Core) hasSlots(o *rollout.Order) bool {
 	if c.view == nil {
 		return false
 	}
@@ -110,104 +115,107 @@
 			base += s.Slots
 		}
 	}
-	return target > 0 && float64(target) >= shiftSlots*float64(base)
+	return target > 0 && float64(target) >= minSlotRatio*float64(base)
 }
 
-// advance takes a roll-out to its next phase, which all nodes learn.
-func (c *Core) advance(e *rollout.Entry, to rollout.Phase, reason string, found bool) {
+// advance moves a roll-out to its next phase, which is spread to all nodes.
+func (c *Core) advance(e *rollout.Entry, to rollout.Phase, reason string, foundHere bool) {
 	next := *e
 	next.Phase, next.Reason = to, reason
-	c.merge(next, found)
+	c.merge(next, foundHere)
 }
 
-// record asks for the store to be told of a phase, where it is this node's turn.
-func (c *Core) record(r *run, e rollout.Entry, phase rollout.Phase) {
-	if c.myTurn(r, c.now) {
+// writeInTurn writes a phase to the store if it is this node's turn.
+func (c *Core) writeInTurn(r *localState, e rollout.Entry, phase rollout.Phase) {
+	if c.ownTurn(r, c.now) {
 		c.write(r, e, phase)
 	}
 }
 
-func (c *Core) write(r *run, e rollout.Entry, phase rollout.Phase) {
+func (c *Core) write(r *localState, e rollout.Entry, phase rollout.Phase) {
 	if r.writing || c.now.Before(r.retryAt) {
 		return
 	}
 	r.writing = true
 	e.Phase = phase
-	c.act(Record{Entry: e, Row: r.row})
+	c.act(Record{Entry: e, Row: r.rowRevision})
 }
 
-// recorded takes the store's answer.
+// recorded handles the store's response to a Record.
 func (c *Core) recorded(ev Recorded) {
-	r := c.runs[ev.Service]
+	r := c.rollouts[ev.Service]
 	if r == nil {
 		return
 	}
 	r.writing = false
 	if ev.Outdated {
-		r.row = 0 // the refused write tells what there is now
+		r.rowRevision = 0 // the next write is refused and returns the present row
 		return
 	}
 	if ev.Err != nil {
 		r.retryAt = c.now.Add(retryDelay)
 		return
 	}
-	r.row = ev.Row
+	r.rowRevision = ev.Row
 	if ev.Held == nil {
-		return // there is no row yet: the next try expects none
+		return // there is no row: the next write expects none
 	}
 	e, _ := c.table.Get(c.now, ev.Service)
-	// In an older copy, the order may have got on since.
-	if c.life == 0 && e.Order.After(&ev.Held.Order) && !e.Order.Again(&ev.Held.Order) {
-		if c.table.Replaced(*ev.Held) { // the next try replaces it
-			c.passOn(ev.Service)
+	// After a restore, the row may be older than what became of its order, so it doesn't
+	// count as the end of a replaced order.
+	if c.epoch == 0 && e.Order.After(&ev.Held.Order) && !e.Order.Again(&ev.Held.Order) {
+		if c.table.Replaced(*ev.Held) { // the next write replaces the row
+			c.markPending(ev.Service)
 		}
 		return
 	}
 	c.merge(*ev.Held, false)
-	c.kept(ev.Held)
+	c.markStored(ev.Held)
 }
 
-// myTurn reports whether it is this node's turn to act on what has been due since
-// eligibleAt. All nodes agree on the order, and each waits until those before it have
-// had time to.
-func (c *Core) myTurn(r *run, now time.Time) bool {
-	return c.turn(r, now.Sub(r.eligibleAt))
+// ownTurn reports whether it is this node's turn for the step that has been due since
+// dueSince. All nodes agree on the order, and each waits until those before it have had time
+// to act.
+func (c *Core) ownTurn(r *localState, now time.Time) bool {
+	return c.rankDelayElapsed(r, now.Sub(r.dueSince))
 }
 
-// turn reports whether it is this node's turn to act on what has been due for a while.
-func (c *Core) turn(r *run, due time.Duration) bool {
+// rankDelayElapsed reports whether a step has been due for long enough that it is this node's
+// turn.
+func (c *Core) rankDelayElapsed(r *localState, due time.Duration) bool {
 	return due >= time.Duration(c.rank(r))*rankDelay
 }
 
-// rank returns how many nodes come before this one, up to maxRank.
-func (c *Core) rank(r *run) int {
+// rank returns the number of nodes whose turn comes before this one's, up to maxRank. It is
+// maxRank as long as the node has no view of the fleet.
+func (c *Core) rank(r *localState) int {
 	if c.view == nil {
 		return maxRank
 	}
 	rank := 0
 	for _, service := range c.view.Services() {
-		rank += c.before(r, c.view.Service(service), maxRank-rank, func(*endpoint.Record) bool { return true })
+		rank += c.countBefore(r, c.view.Service(service), maxRank-rank, func(*endpoint.Record) bool { return true })
 	}
 	return rank
 }
 
-// before returns how many of the nodes that count have drawn an earlier lot than this
-// one, up to most.
-func (c *Core) before(r *run, servers []endpoint.Record, most int, counts func(*endpoint.Record) bool) int {
-	own, n := lot(r.revision, c.self), 0
+// countBefore returns how many of the eligible nodes have a lower rank hash than this one, up
+// to limit.
+func (c *Core) countBefore(r *localState, servers []endpoint.Record, limit int, eligible func(*endpoint.Record) bool) int {
+	own, n := rankHash(r.revision, c.self), 0
 	for i := range servers {
-		if n == most {
+		if n == limit {
 			break
 		}
-		if s := &servers[i]; counts(s) && lot(r.revision, s.Node) < own {
+		if s := &servers[i]; eligible(s) && rankHash(r.revision, s.Node) < own {
 			n++
 		}
 	}
 	return n
 }
 
-// lot is what a node draws in a roll-out: by it nodes are put in an order, the same
-// everywhere.
-func lot(revision uint64, node model.NodeID) uint64 {
+// rankHash returns the hash by which the nodes are ordered in the roll-out of an order with
+// this revision. All nodes compute the same order.
+func rankHash(revision uint64, node model.NodeID) uint64 {
 	return xxhash.Sum64String(strconv.FormatUint(revision, 10) + " " + string(node))
 }
--- a/coordination/rollout/doc.go
+++ b/coordination/rollout/doc.go
@@ -1,15 +1,17 @@
 // Package rollout moves a service to another version of its backend servers, on the
-// operators' order, and takes that back where the version turns out bad.
+// operators' order, and reverts the move if that version turns out bad.
 //
-// Nobody coordinates it. Four parts act together:
+// There is no coordinator. Four parts work together:
 //
-//   - Meter counts, beside one backend server, what becomes of its requests.
-//   - Core shares orders, phases and counts among all nodes. Each node compares the
-//     versions by the same counts, and whoever finds the new one bad stops it
-//     everywhere. One node after the other, in an order drawn for each roll-out, tells
-//     the store; a condition on the row lets one verdict win.
-//   - A Lane tells the path of a request which backend servers it may be sent to.
-//   - An Allowance bounds what one node sends to a version that is not yet trusted by
-//     what it has sent to the other, so that the bound holds for the whole fleet however
-//     it is cut.
+//   - Meter counts the outcomes and durations of the requests that the host's backend server
+//     runs.
+//   - Core replicates orders, phases and reports of these counts among all nodes. Each node
+//     compares the versions by the same counts, and the first one to find a fault in the new
+//     version stops it everywhere. The nodes then attempt to write to the store one after
+//     the other, in an order that differs between roll-outs; a condition on the row's
+//     revision lets only one verdict win.
+//   - A Lane holds the backend servers of a service that requests may be sent to.
+//   - An Allowance limits the requests that one node sends to a version on trial to a
+//     fraction of those that the same node has sent to the other version, so that the limit
+//     holds for the whole fleet under any network partition.
 package rollout
--- a/coordination/rollout/event.go
+++ b/coordination/rollout/event.go
@@ -5,39 +5,40 @@
 	"github.com/jacinthgate/jacinthgate/state/rollout"
 )
 
-// Ordered reports an order that was read in the store.
+// Ordered reports an order read from the store.
 type Ordered struct {
 	Order rollout.Order
 }
 
-// Learned reports what the store held of roll-outs when the node started.
+// Learned reports the entries that the store held when the node started.
 type Learned struct {
 	Entries []rollout.Entry
 }
 
-// Recorded answers a Record.
+// Recorded is the response to a Record.
 type Recorded struct {
-	// Service is the service.
 	Service string
-	// Held is what the store holds now; nil without an answer, or where it holds none.
+	// Held is the entry that the store holds now; nil if the store gave no answer or holds
+	// none.
 	Held *rollout.Entry
-	// Row is the revision of the row that holds it; 0 where there is none.
+	// Row is the revision of the row that holds the entry; 0 if there is none.
 	Row uint64
-	// Err says why the store gave no answer; what was asked for may still be done.
+	// Err is the reason why the store gave no answer; the write may still take effect.
 	Err error
-	// Outdated says that the row's revision was of a life of the store that is over: the
-	// write wasn't made, or it isn't certain that its condition held.
+	// Outdated is set if the expected row revision belongs to a former epoch of the store:
+	// the write wasn't made, or it isn't certain that its condition held.
 	Outdated bool
 }
 
-// Counted reports what the host's backend server has done since the node's start.
+// Counted reports the tallies of the host's backend server since the node started.
 type Counted struct {
-	// Service, Version and Instance are those of the backend server; empty without one.
+	// Service, Version and Instance identify the backend server; they are empty if there is
+	// none.
 	Service, Version, Instance string
 	Tallies                    []rollout.Tally
 }
 
-// Servers reports the backend servers that may serve.
+// Servers reports a new view of the backend servers that may receive requests.
 type Servers struct {
 	View *endpoint.View
 }
@@ -57,18 +58,18 @@
 // Event implements core.Event.
 func (Servers) Event() {}
 
-// Changed reports that Lanes returns other lanes to publish.
+// Changed requests that the driver publish the result of Core.Lanes, which may have changed.
 type Changed struct{}
 
-// Turned reports that a roll-out has got on.
+// Turned reports that a roll-out has begun or has entered another phase.
 type Turned struct {
 	Entry rollout.Entry
-	// FoundHere says that this node has found the fault that stopped it.
+	// FoundHere is set if this node has found the fault that stopped the roll-out.
 	FoundHere bool
 }
 
-// Record asks for the store to be told of a roll-out, if the row of the service still
-// has the revision Row. The driver answers with Recorded.
+// Record requests a write of the entry to the store, on condition that the service's row
+// still has the revision Row. The driver responds with Recorded.
 type Record struct {
 	Entry rollout.Entry
 	Row   uint64
--- a/coordination/rollout/evidence.go
+++ b/coordination/rollout/evidence.go
@@ -7,36 +7,36 @@
 	"github.com/jacinthgate/jacinthgate/state/rollout"
 )
 
-// reporter names one start of a node that counts.
+// reporter identifies one incarnation of a node that reports its counts.
 type reporter struct {
 	node        model.NodeID
 	incarnation uint64
 }
 
-// series are the reports of one start of a node: the last one, and earlier ones for
-// what is recent.
+// series holds the reports of one reporter: the last one, and snapshots of earlier ones as
+// baselines for the recent window.
 type series struct {
-	last  rollout.Report
-	marks []mark // oldest first
+	last      rollout.Report
+	snapshots []snapshot // oldest first
 }
 
-// mark is a former report and when it came.
-type mark struct {
+// snapshot holds the tallies of an earlier report and when the next one replaced it.
+type snapshot struct {
 	at      time.Time
 	tallies []rollout.Tally
 }
 
-// evidence is what was counted in one roll-out.
+// evidence holds the reports received in one roll-out.
 type evidence struct {
 	series map[reporter]*series
 }
 
 func newEvidence() *evidence { return &evidence{series: make(map[reporter]*series)} }
 
-// maxSeries bounds the starts of nodes whose counts are held.
+// maxSeries is the maximum number of reporters whose counts are held.
 const maxSeries = 512
 
-// merge takes a report and says whether it is news.
+// merge adds a report and reports whether it is new.
 func (e *evidence) merge(now time.Time, r rollout.Report) bool {
 	k := reporter{r.Reporter, r.Incarnation}
 	s := e.series[k]
@@ -44,35 +44,36 @@
 	case s == nil && len(e.series) >= maxSeries:
 		return false
 	case s == nil:
-		s = &series{marks: []mark{{at: now}}}
+		s = &series{snapshots: []snapshot{{at: now}}}
 		e.series[k] = s
 	case r.Sequence <= s.last.Sequence:
 		return false
 	case r.Version != s.last.Version:
-		s.marks = []mark{{at: now}}
+		s.snapshots = []snapshot{{at: now}}
 	default:
-		s.marks = append(s.marks, mark{at: now, tallies: s.last.Tallies})
+		s.snapshots = append(s.snapshots, snapshot{at: now, tallies: s.last.Tallies})
 	}
 	s.last = r
 	return true
 }
 
-// age forgets the marks that lie before the window, but for the newest of them.
-func (s *series) age(now time.Time) {
-	for len(s.marks) > 1 && now.Sub(s.marks[1].at) >= window {
-		s.marks = s.marks[1:]
+// trim drops the snapshots older than the recent window, except for the newest of them, which
+// is the baseline of the window.
+func (s *series) trim(now time.Time) {
+	for len(s.snapshots) > 1 && now.Sub(s.snapshots[1].at) >= recentWindow {
+		s.snapshots = s.snapshots[1:]
 	}
 }
 
-// comparisons returns what was counted for each sort of work: over the whole time, or
-// within the window.
+// comparisons returns the counts of both versions for each workload: over the whole roll-out
+// or, if recent is set, within the recent window.
 func (e *evidence) comparisons(now time.Time, target string, recent bool) map[model.Work]*Comparison {
 	all := make(map[model.Work]*Comparison)
 	for _, s := range e.series {
 		tallies := s.last.Tallies
 		if recent {
-			s.age(now)
-			tallies = since(tallies, s.marks[0].tallies)
+			s.trim(now)
+			tallies = countedSince(tallies, s.snapshots[0].tallies)
 		}
 		for i := range tallies {
 			addTally(all, &tallies[i], s.last.Version == target)
@@ -96,67 +97,71 @@
 	c.Target = append(c.Target, s)
 }
 
-// finding is what a comparison has found.
+// finding is a fault, with the comparison that shows it.
 type finding struct {
 	fault Fault
 	*Comparison
 }
 
-// judge returns the first fault in order of the work; it has none where nothing is found.
-func (e *evidence) judge(now time.Time, target string) finding {
+// findFault returns the first fault in the order of workloads: over the whole roll-out or, if
+// there is none, within the recent window. The result has NoFault if neither shows one.
+func (e *evidence) findFault(now time.Time, target string) finding {
 	for _, recent := range [...]bool{false, true} {
-		var worst finding
+		var first finding
 		for w, c := range e.comparisons(now, target, recent) {
-			if f := c.Judge(); f != NoFault && (worst.fault == NoFault || compareWork(w, worst.Work) < 0) {
-				worst = finding{fault: f, Comparison: c}
+			if f := c.Judge(); f != NoFault && (first.fault == NoFault || compareWork(w, first.Work) < 0) {
+				first = finding{fault: f, Comparison: c}
 			}
 		}
-		if worst.fault != NoFault {
-			return worst
+		if first.fault != NoFault {
+			return first
 		}
 	}
 	return finding{}
 }
 
-// progress is how much the new version has been tried.
+// progress counts the answers of both versions so far.
 type progress struct {
-	// answers are all that it has given, and repeatable those to requests that may be
-	// sent again.
+	// answers is the number of the new version's answers, and repeatable the number of those
+	// to repeatable requests.
 	answers, repeatable int
-	// base are the old version's.
+	// base and baseRepeatable are the old version's numbers.
 	base, baseRepeatable int
-	// untried says that a sort of work which the old version often does has had too few.
-	untried bool
+	// workMissing is set if the new version has too few answers for a workload that is in use
+	// at the old version.
+	workMissing bool
 }
 
 func (e *evidence) progress(now time.Time, target string) progress {
 	var p progress
 	for w, c := range e.comparisons(now, target, false) {
-		tried := 0
+		answers := 0
 		for i := range c.Target {
-			tried += c.Target[i].Answers
+			answers += c.Target[i].Answers
 		}
-		p.answers += tried
+		p.answers += answers
 		p.base += c.Base.Answers
 		if w.Kind.Repeatable() {
-			p.repeatable += tried
+			p.repeatable += answers
 			p.baseRepeatable += c.Base.Answers
 		}
-		p.untried = p.untried || c.Base.Answers >= busyAnswers && tried < sortAnswers
+		p.workMissing = p.workMissing || c.Base.Answers >= inUseAnswers && answers < minWorkAnswers
 	}
 	return p
 }
 
-// trusted reports whether requests that can't be sent again are tried too.
-func (p *progress) trusted() bool {
-	return p.repeatable >= trustAnswers || p.base >= busyAnswers && p.baseRepeatable == 0
+// allowsNonRepeatable reports whether the canary may receive non-repeatable requests: after
+// enough answers to repeatable ones, or if the service has no repeatable ones.
+func (p *progress) allowsNonRepeatable() bool {
+	return p.repeatable >= minRepeatableAnswers || p.base >= inUseAnswers && p.baseRepeatable == 0
 }
 
-// enough reports whether the new version has been tried enough for all requests. In the
-// end the little that there is has to do.
-func (p *progress) enough(last bool) bool {
-	if last {
-		return p.answers >= sortAnswers || p.base < busyAnswers
+// enough reports whether the new version has enough answers for all requests to be shifted.
+// If the shift is overdue, few answers suffice, and none are required of a service that is
+// hardly in use.
+func (p *progress) enough(overdue bool) bool {
+	if overdue {
+		return p.answers >= minWorkAnswers || p.base < inUseAnswers
 	}
-	return p.answers >= shiftAnswers && !p.untried
+	return p.answers >= minShiftAnswers && !p.workMissing
 }
--- a/coordination/rollout/judge.go
+++ b/coordination/rollout/judge.go
@@ -7,16 +7,17 @@
 	"github.com/jacinthgate/jacinthgate/state/rollout"
 )
 
-// Sample is what backend servers have done with one sort of work.
+// Sample sums up the answers of backend servers for one workload.
 type Sample struct {
-	// Answers were given, of which Failed failed.
+	// Answers is the number of answers, of which Failed failed.
 	Answers, Failed int
-	// Times counts what others took, by rollout.Bucket, and Timed is their number.
+	// Times counts the durations of the answers that did not fail, by rollout.Bucket; Timed
+	// is their number.
 	Times [rollout.Buckets]int
 	Timed int
 }
 
-// Add adds a tally.
+// Add adds the counts of a tally.
 func (s *Sample) Add(t *rollout.Tally) {
 	s.Answers += int(t.Answers)
 	s.Failed += int(t.Failed)
@@ -26,77 +27,84 @@
 	}
 }
 
-// Comparison holds what both versions have done with one sort of work.
+// Comparison holds the samples of both versions for one workload.
 type Comparison struct {
 	Work model.Work
-	// Target are the new version's samples, one for each backend server.
+	// Target holds the new version's samples, one for each backend server.
 	Target []Sample
-	// Base is the old version's.
+	// Base is the old version's sample.
 	Base Sample
 }
 
-// Fault is what a version is found to be worse in.
+// Fault is the respect in which the new version is worse than the old one.
 type Fault string
 
 // The faults.
 const (
-	// NoFault is none that could be told from chance.
+	// NoFault means that no difference can be distinguished from chance.
 	NoFault Fault = ""
-	// Failing answers more often with a failure.
+	// Failing means that a larger fraction of the answers fails.
 	Failing Fault = "failures"
-	// Slow answers more often several times slower.
+	// Slow means that a larger fraction of the answers is several times slower.
 	Slow Fault = "slow"
 )
 
-// The bounds of the comparison, measured in virtual time over 2,000 roll-outs for each
-// kind of version, each of 900 answers of two sorts of work, looked at after every ten
-// (TestFalseAlarmsAndMisses). A version that fails half or a tenth, or is eight times
-// slower for half of its answers, is found in each of them, after 28 to 44 bad answers on
-// average and 122 at most; where both versions fail a fifth besides, after 114 and 249 at
-// most; one that is four times slower for half in 1,998. A sound version is reverted in
-// none; in 4 where its backend servers are half as fast, in 2 where both versions fail a
-// fifth, in 1 where one of its three backend servers fails half by itself. A fixed ratio
-// (three times the failures or the mean time, after 20 answers) reverts all 2,000 of the
-// last kind and finds 717 of those that are eight times slower.
+// Bounds of the comparison. Out of 2,000 simulated roll-outs for each kind of version, each
+// with 900 answers of two workloads and a comparison after every ten answers
+// (TestFalseAlarmsAndMisses):
+//
+//   - A version that fails half or a tenth of its answers, or is eight times slower for half
+//     of them, is found in all, after 28 to 44 bad answers on average and 122 at most. If
+//     both versions fail a fifth of their answers besides, it is found after 114 on average
+//     and 249 at most.
+//   - A version that is four times slower for half of its answers is found in 1,998.
+//   - A sound version is not reverted in any; but in 4 if its backend servers are half as
+//     fast, in 2 if both versions fail a fifth of their answers, and in 1 if one of its three
+//     backend servers by itself fails half.
+//   - A fixed ratio (three times the failures, or a mean duration higher by more than
+//     slowSteps, after 20 answers; fixedRatio in the test) would revert the last kind in all
+//     2,000 and find only 717 of the versions that are eight times slower.
 const (
-	// deviations is how many standard deviations the lower bound of a rate lies below
-	// what was seen.
-	deviations = 3
-	// failMargin and failRatio bound the part that fails by that of the old version.
+	// zScore is how many standard deviations the confidence bounds of a rate lie from the
+	// observed rate.
+	zScore = 3
+	// failMargin and failRatio set the tolerated fraction of failed answers: failMargin plus
+	// failRatio times the old version's fraction.
 	failMargin = 0.02
 	failRatio  = 1.5
-	// slowSteps is from how many half octaves above the old version's mean on an answer
-	// counts as slow: four times.
+	// slowSteps is how many half octaves above the old version's mean duration an answer
+	// counts as slow; four make a factor of four.
 	slowSteps = 4
-	// slowMargin and slowRatio bound the part that is slow by that of the old version.
+	// slowMargin and slowRatio set the tolerated fraction of slow answers from the old
+	// version's in the same way.
 	slowMargin = 0.15
 	slowRatio  = 2
-	// unevenSteps is from how many half octaves above the lower quartile of a backend
-	// server's own times on an answer counts as slow: four times. unevenMargin and
-	// unevenRatio bound the part that is slow by that of the old version, whose backend
-	// servers together are less even than each of them.
-	unevenSteps  = 4
-	unevenMargin = 0.1
-	unevenRatio  = 1.25
-	// minAnswers is the number of answers below which nothing is said, and minOwn that
-	// from which a backend server's own lower quartile is known.
-	minAnswers = 15
-	minOwn     = 12
-	// minTimed is the number of the old version's answers from which its times are
-	// known.
+	// tailSteps is how many half octaves above the lower quartile of the same backend
+	// server's durations an answer counts as slow; four make a factor of four. tailMargin and
+	// tailRatio set the tolerated fraction of these from the old version's. That one is taken
+	// over all its backend servers together, whose durations vary more than those of each.
+	tailSteps  = 4
+	tailMargin = 0.1
+	tailRatio  = 1.25
+	// minAnswers is the number of answers below which no fault is reported, and minOwnTimed
+	// the number of durations from which a backend server's own lower quartile is used.
+	minAnswers  = 15
+	minOwnTimed = 12
+	// minTimed is the number of the old version's durations from which they are used for
+	// comparison.
 	minTimed = 30
-	// minBase is the number of the old version's answers from which its failures are
-	// known. Before that usualFailures is held to be usual.
-	minBase       = 20
-	usualFailures = 0.15
-	// spared is the number of the new version's backend servers from which the worst one
-	// is left out: it may be faulty by itself.
-	spared = 3
+	// minBaseAnswers is the number of the old version's answers from which its failure rate
+	// is used. With fewer, the rate is taken to be assumedFailureRate.
+	minBaseAnswers     = 20
+	assumedFailureRate = 0.15
+	// minForOutlier is the number of the new version's backend servers from which a fault
+	// must also show without the worst of them, which may be faulty by itself.
+	minForOutlier = 3
 )
 
-// Judge returns the new version's fault.
+// Judge returns the new version's fault, or NoFault.
 func (c *Comparison) Judge() Fault {
-	for _, m := range [...]measure{failures(&c.Base), slow(&c.Base), uneven(&c.Base)} {
+	for _, m := range [...]measure{failures(&c.Base), slow(&c.Base), tail(&c.Base)} {
 		if c.worse(m) {
 			return m.fault
 		}
@@ -104,23 +112,24 @@
 	return NoFault
 }
 
-// measure is one way to compare a version with the old one.
+// measure is one criterion by which the new version is compared with the old one.
 type measure struct {
 	fault Fault
-	// count returns how many of a backend server's answers are bad, and how many there
-	// are.
+	// count returns how many of a backend server's answers are bad, and how many there are in
+	// all.
 	count func(s *Sample) (bad, all int)
-	// bound is the part of the answers that may be bad.
+	// bound is the tolerated fraction of bad answers.
 	bound float64
 }
 
-// exceeded reports whether the part that is bad surely lies above the bound.
+// exceeded reports whether the fraction of bad answers lies above the bound by more than
+// chance.
 func (m *measure) exceeded(bad, all int) bool {
-	return all >= minAnswers && surely(bad, all) > m.bound
+	return all >= minAnswers && lowerBound(bad, all) > m.bound
 }
 
-// worse reports whether the new version does worse by a measure, also without its worst
-// backend server.
+// worse reports whether the new version exceeds the bound of a measure and, from
+// minForOutlier backend servers on, still does so without the worst of them.
 func (c *Comparison) worse(m measure) bool {
 	var bad, all, answered int
 	var worstBad, worstAll int
@@ -139,57 +148,58 @@
 	if !m.exceeded(bad, all) {
 		return false
 	}
-	return answered < spared || m.exceeded(bad-worstBad, all-worstAll)
+	return answered < minForOutlier || m.exceeded(bad-worstBad, all-worstAll)
 }
 
-// failures measures the part of the answers that fail.
+// failures returns the measure of answers that fail.
 func failures(base *Sample) measure {
-	usual := usualFailures
-	if base.Answers >= minBase {
-		_, usual = bounds(base.Failed, base.Answers)
+	rate := assumedFailureRate
+	if base.Answers >= minBaseAnswers {
+		_, rate = wilsonInterval(base.Failed, base.Answers)
 	}
 	return measure{
 		fault: Failing,
 		count: func(s *Sample) (bad, all int) { return s.Failed, s.Answers },
-		bound: failMargin + failRatio*usual,
+		bound: failMargin + failRatio*rate,
 	}
 }
 
-// slow measures the part of the answers that are several times slower than the old
-// version's.
+// slow returns the measure of answers that are several times slower than the old version's
+// mean.
 func slow(base *Sample) measure {
 	if base.Timed < minTimed {
-		return unknown
+		return noMeasure
 	}
 	from := int(math.Ceil(base.meanBucket() + slowSteps))
 	return measure{
 		fault: Slow,
-		count: func(s *Sample) (bad, all int) { return s.above(from), s.Timed },
-		bound: slowMargin + slowRatio*float64(base.above(from))/float64(base.Timed),
+		count: func(s *Sample) (bad, all int) { return s.countFrom(from), s.Timed },
+		bound: slowMargin + slowRatio*float64(base.countFrom(from))/float64(base.Timed),
 	}
 }
 
-// uneven measures the part of the answers that are several times slower than the faster
-// answers of the same backend server: how fast its host is doesn't count.
-func uneven(base *Sample) measure {
+// tail returns the measure of answers that are several times slower than the faster answers
+// of the same backend server. The speed of its host has no influence on it.
+func tail(base *Sample) measure {
 	if base.Timed < minTimed {
-		return unknown
+		return noMeasure
 	}
 	count := func(s *Sample) (bad, all int) {
-		if s.Timed < minOwn {
+		if s.Timed < minOwnTimed {
 			return 0, 0
 		}
-		return s.above(s.quartile() + unevenSteps), s.Timed
+		return s.countFrom(s.lowerQuartile() + tailSteps), s.Timed
 	}
 	bad, all := count(base)
-	return measure{fault: Slow, count: count, bound: unevenMargin + unevenRatio*float64(bad)/float64(all)}
+	return measure{fault: Slow, count: count, bound: tailMargin + tailRatio*float64(bad)/float64(all)}
 }
 
-// unknown is a measure that finds nothing, as the old version's answers are too few.
-var unknown = measure{count: func(*Sample) (bad, all int) { return 0, 0 }, bound: 1}
+// noMeasure never finds a fault. It is used if the old version has too few answers to compare
+// with.
+var noMeasure = measure{count: func(*Sample) (bad, all int) { return 0, 0 }, bound: 1}
 
-// quartile returns the bucket that a quarter of the times don't exceed.
-func (s *Sample) quartile() int {
+// lowerQuartile returns the bucket that a quarter of the durations do not exceed.
+func (s *Sample) lowerQuartile() int {
 	n := 0
 	for i, count := range s.Times {
 		if n += count; 4*n >= s.Timed {
@@ -199,7 +209,7 @@
 	return len(s.Times)
 }
 
-// meanBucket returns the mean bucket: that of the geometric mean of the times.
+// meanBucket returns the mean bucket, which is that of the geometric mean of the durations.
 func (s *Sample) meanBucket() float64 {
 	sum := 0
 	for i, n := range s.Times {
@@ -208,8 +218,8 @@
 	return float64(sum) / float64(s.Timed)
 }
 
-// above counts the times in a bucket and those after it.
-func (s *Sample) above(from int) int {
+// countFrom returns the number of durations in a bucket and those above it.
+func (s *Sample) countFrom(from int) int {
 	n := 0
 	for i := max(0, from); i < len(s.Times); i++ {
 		n += s.Times[i]
@@ -217,18 +227,19 @@
 	return n
 }
 
-// surely returns the lower bound of the rate of bad answers.
-func surely(bad, all int) float64 {
-	low, _ := bounds(bad, all)
+// lowerBound returns the lower confidence bound of the rate of bad answers.
+func lowerBound(bad, all int) float64 {
+	low, _ := wilsonInterval(bad, all)
 	return low
 }
 
-// bounds returns Wilson's bounds of a rate, between which it lies but for chance.
-func bounds(bad, all int) (low, high float64) {
+// wilsonInterval returns the bounds of the Wilson score interval, which contains the true
+// rate except by chance.
+func wilsonInterval(bad, all int) (low, high float64) {
 	if all == 0 {
 		return 0, 1
 	}
-	n, p, z := float64(all), float64(bad)/float64(all), float64(deviations)
+	n, p, z := float64(all), float64(bad)/float64(all), float64(zScore)
 	centre := p + z*z/(2*n)
 	margin := z * math.Sqrt(p*(1-p)/n+z*z/(4*n*n))
 	scale := 1 + z*z/n
--- a/coordination/rollout/lane.go
+++ b/coordination/rollout/lane.go
@@ -10,13 +10,13 @@
 	"github.com/jacinthgate/jacinthgate/state/rollout"
 )
 
-// Lanes says which backend servers requests may be sent to, for the services that have
-// had a roll-out. It is immutable; the nil Lanes has none.
+// Lanes holds the lane of each service that has had a roll-out. It is immutable; a nil Lanes
+// is empty.
 type Lanes struct {
 	services map[string]*Lane
 }
 
-// Of returns the lane of a service; nil where all its backend servers may be used.
+// Of returns the lane of a service; nil if all its backend servers may be used.
 func (l *Lanes) Of(service string) *Lane {
 	if l == nil {
 		return nil
@@ -24,66 +24,66 @@
 	return l.services[service]
 }
 
-// Lane says which backend servers of one service requests may be sent to.
+// Lane holds the backend servers of one service that requests may be sent to.
 type Lane struct {
-	// Main are those that any request may be sent to.
+	// Main are the backend servers that any request may be sent to.
 	Main []endpoint.Record
-	// Canaries are those that requests may be sent to which Try allows.
+	// Canaries are the backend servers that a request may be sent to only if Try allows it.
 	Canaries []endpoint.Record
-	// CanaryService stands for the service where a canary is picked: what is learnt of
-	// the two versions is kept apart.
+	// CanaryService replaces the service when a canary is picked, so that the balancer keeps
+	// separate estimates for the two versions.
 	CanaryService *model.Service
 
-	target    string
-	closed    bool // the target gets nothing
-	rejected  []string
-	cautious  bool
-	allowance *Allowance
+	target         string
+	targetExcluded bool // the target receives no requests
+	rejected       []string
+	repeatableOnly bool
+	allowance      *Allowance
 }
 
-// Try reports whether a request may be sent to a canary. On true it has used up one
-// allowance, which Spare gives back where it wasn't sent.
+// Try reports whether a request may be sent to a canary. If so, it has taken one request from
+// the allowance, which Spare returns if the request isn't sent.
 func (l *Lane) Try(repeatable bool) bool {
-	return len(l.Canaries) > 0 && (repeatable || !l.cautious) && l.allowance.take()
+	return len(l.Canaries) > 0 && (repeatable || !l.repeatableOnly) && l.allowance.take()
 }
 
-// Spare gives the allowance of a request back that wasn't sent.
-func (l *Lane) Spare() { l.allowance.add(whole) }
+// Spare returns one request to the allowance, for a request that Try has allowed and that
+// wasn't sent.
+func (l *Lane) Spare() { l.allowance.add(oneRequest) }
 
-// Reached notes that a request has reached a backend server of Main: the part of it
-// that a canary may have is allowed. Those that don't reach one don't count.
+// Reached adds the canary's fraction of one request to the allowance. It is called for each
+// request that has reached a backend server of Main; requests that reach none do not count.
 func (l *Lane) Reached() {
 	if len(l.Canaries) > 0 {
 		l.allowance.earn()
 	}
 }
 
-// Tries reports whether a version isn't trusted yet.
+// Tries reports whether a version is on trial.
 func (l *Lane) Tries(version string) bool { return version == l.target && len(l.Canaries) > 0 }
 
-// Rejects reports whether backend servers of a version get nothing.
+// Rejects reports whether backend servers of a version must not receive requests.
 func (l *Lane) Rejects(version string) bool {
 	if l == nil {
 		return false
 	}
-	return l.closed && version == l.target || slices.Contains(l.rejected, version)
+	return l.targetExcluded && version == l.target || slices.Contains(l.rejected, version)
 }
 
-// canarySuffix marks the name that stands for a service's canaries; no service is named
-// so.
+// canarySuffix ends the name of a CanaryService. No real service has such a name.
 const canarySuffix = "/canary"
 
-// newLane returns the lane of a service with these backend servers. Those of doubted
-// versions are used where there are no others.
-func newLane(e *rollout.Entry, doubted []string, servers []endpoint.Record, r *run) *Lane {
-	l := &Lane{target: e.Order.Target, rejected: e.Rejected, cautious: r.cautious, allowance: r.allowance}
+// newLane returns the lane of a service with these backend servers. Backend servers of
+// doubted versions are used only if there are no others.
+func newLane(e *rollout.Entry, doubted []string, servers []endpoint.Record, r *localState) *Lane {
+	l := &Lane{target: e.Order.Target, rejected: e.Rejected, repeatableOnly: r.repeatableOnly, allowance: r.allowance}
 	switch e.Phase {
 	case rollout.Pending, rollout.Stopped, rollout.Reverted:
-		l.closed = true
+		l.targetExcluded = true
 	}
 	base, target := l.split(servers)
 	switch {
-	case r.ended:
+	case r.exclusionOver:
 		l.Main = append(base, target...)
 	case e.Phase == rollout.Shifting, e.Phase == rollout.Succeeded:
 		l.Main = target
@@ -92,16 +92,17 @@
 		}
 	case e.Phase == rollout.Canary:
 		l.Main = base
-		l.Canaries = canaries(e.Order.Revision, target, r.allowance.canaries(len(base)))
+		l.Canaries = chooseCanaries(e.Order.Revision, target, r.allowance.canaryCount(len(base)))
 		l.CanaryService = &model.Service{Name: e.Order.Service + canarySuffix}
 	default:
-		l.Main = without(base, doubted)
+		l.Main = withoutVersions(base, doubted)
 	}
 	return l
 }
 
-// without leaves out the backend servers of some versions, unless there are no others.
-func without(servers []endpoint.Record, versions []string) []endpoint.Record {
+// withoutVersions returns the backend servers of all but the given versions, or all of them
+// if none would be left.
+func withoutVersions(servers []endpoint.Record, versions []string) []endpoint.Record {
 	if len(versions) == 0 {
 		return servers
 	}
@@ -113,7 +114,7 @@
 }
 
 // split returns the backend servers of other versions and those of the target. Those of
-// rejected versions are in neither.
+// rejected versions are in neither list.
 func (l *Lane) split(servers []endpoint.Record) (base, target []endpoint.Record) {
 	for i := range servers {
 		switch r := servers[i]; {
@@ -126,48 +127,51 @@
 	return base, target
 }
 
-// canaries returns n backend servers that the canary's requests go to. All nodes choose
-// the same ones.
-func canaries(revision uint64, target []endpoint.Record, n int) []endpoint.Record {
+// chooseCanaries returns the n backend servers that receive the canary's requests. All nodes
+// choose the same ones.
+func chooseCanaries(revision uint64, target []endpoint.Record, n int) []endpoint.Record {
 	chosen := slices.Clone(target)
-	slices.SortFunc(chosen, func(a, b endpoint.Record) int { return cmp.Compare(lot(revision, a.Node), lot(revision, b.Node)) })
+	slices.SortFunc(chosen, func(a, b endpoint.Record) int {
+		return cmp.Compare(rankHash(revision, a.Node), rankHash(revision, b.Node))
+	})
 	return chosen[:min(n, len(chosen))]
 }
 
-// Allowance bounds what one node sends to a version that isn't trusted yet. It is safe
-// for concurrent use.
+// Allowance limits the requests that one node sends to a version on trial. It is a token
+// bucket that is filled by the node's requests to the other version. It is safe for
+// concurrent use.
 type Allowance struct {
-	micros atomic.Int64
-	part   int64 // for each request that has reached another version
+	balance atomic.Int64 // in the unit of oneRequest
+	credit  int64        // added for each request that has reached another version
 }
 
 const (
-	// whole is an allowance of one request, in micros.
-	whole = 1_000_000
-	// maxAllowance bounds what is saved up, so that a node doesn't send a herd of
-	// requests to a version that has just appeared, nor one that turns bad then.
-	maxAllowance = 2 * whole
+	// oneRequest is the allowance for one request, in millionths of a request.
+	oneRequest = 1_000_000
+	// maxAllowance limits what can be saved up, so that a node sends no burst of requests to
+	// a version that has just appeared or has just turned bad.
+	maxAllowance = 2 * oneRequest
 )
 
-// canaries returns how many backend servers share what is allowed. They are so few that
-// each gets about as much as one of the others: a version that is bad under load shows
-// that.
-func (a *Allowance) canaries(base int) int {
-	return max(minCanaries, base*int(a.part)/whole)
+// canaryCount returns how many backend servers share the allowed requests, given the number
+// of those of the other version. They are so few that each receives about as many requests as
+// one of the others, so that a version that is bad under load shows it.
+func (a *Allowance) canaryCount(base int) int {
+	return max(minCanaries, base*int(a.credit)/oneRequest)
 }
 
-// newAllowance returns an allowance of nothing. share is the largest part that the
-// version may get of all requests.
+// newAllowance returns an empty allowance. share is the largest fraction of all requests that
+// the version may receive if it turns out bad.
 func newAllowance(share float64) *Allowance {
-	return &Allowance{part: int64(whole * share * canaryPart)}
+	return &Allowance{credit: int64(oneRequest * share * canaryShare)}
 }
 
-func (a *Allowance) earn() { a.add(a.part) }
+func (a *Allowance) earn() { a.add(a.credit) }
 
-func (a *Allowance) add(micros int64) {
+func (a *Allowance) add(amount int64) {
 	for {
-		old := a.micros.Load()
-		if a.micros.CompareAndSwap(old, min(old+micros, maxAllowance)) {
+		old := a.balance.Load()
+		if a.balance.CompareAndSwap(old, min(old+amount, maxAllowance)) {
 			return
 		}
 	}
@@ -175,11 +179,11 @@
 
 func (a *Allowance) take() bool {
 	for {
-		old := a.micros.Load()
-		if old < whole {
+		old := a.balance.Load()
+		if old < oneRequest {
 			return false
 		}
-		if a.micros.CompareAndSwap(old, old-whole) {
+		if a.balance.CompareAndSwap(old, old-oneRequest) {
 			return true
 		}
 	}
--- a/coordination/rollout/meter.go
+++ b/coordination/rollout/meter.go
@@ -11,8 +11,8 @@
 	"github.com/jacinthgate/jacinthgate/state/rollout"
 )
 
-// Meter counts what becomes of the requests that the host's backend server runs. It is
-// safe for concurrent use.
+// Meter counts the outcomes and durations of the requests that the host's backend server
+// runs. It is safe for concurrent use.
 type Meter struct {
 	counts perwork.Map[counts]
 }
@@ -22,8 +22,8 @@
 	times           [rollout.Buckets]atomic.Uint32
 }
 
-// Answered counts a request that was run. A backend server that is cold after its start is slow
-// whatever its version, so what it takes isn't counted.
+// Answered counts a request that was run, and its duration. A backend server that is cold
+// after its start is slow whatever its version, so its durations aren't counted.
 func (m *Meter) Answered(w model.Work, took time.Duration, cold bool) {
 	c := m.counts.Of(w)
 	c.answers.Add(1)
@@ -32,19 +32,19 @@
 	}
 }
 
-// Failed counts a request that the backend server has failed.
+// Failed counts a request that the backend server failed.
 func (m *Meter) Failed(w model.Work) {
 	c := m.counts.Of(w)
 	c.answers.Add(1)
 	c.failed.Add(1)
 }
 
-// Tallies returns all counts, in order of the work.
+// Tallies returns all counts, in order of the workloads.
 func (m *Meter) Tallies() []rollout.Tally {
 	var all []rollout.Tally
 	m.counts.Each(func(w model.Work, c *counts) {
-		// Failures first: a request that is counted meanwhile doesn't make them more than
-		// there are answers.
+		// Load the failures first, so that a request counted concurrently can't make them
+		// exceed the answers.
 		t := rollout.Tally{Work: w, Failed: c.failed.Load()}
 		t.Answers = c.answers.Load()
 		t.Times = make([]uint32, rollout.Buckets)
@@ -61,15 +61,16 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Target, b.Target))
 }
 
-// since returns what was counted after an earlier count.
-func since(now, before []rollout.Tally) []rollout.Tally {
+// countedSince returns what was counted after an earlier reading. Workloads without new
+// answers are left out.
+func countedSince(now, earlier []rollout.Tally) []rollout.Tally {
 	out := make([]rollout.Tally, 0, len(now))
 	for i := range now {
 		t := now[i]
 		t.Times = slices.Clone(t.Times)
-		for j := range before {
-			if before[j].Work == t.Work {
-				subtract(&t, &before[j])
+		for j := range earlier {
+			if earlier[j].Work == t.Work {
+				subtract(&t, &earlier[j])
 			}
 		}
 		if t.Answers > 0 {
@@ -79,16 +80,17 @@
 	return out
 }
 
-// subtract takes an earlier count off. A count that is lower than before has begun anew.
-func subtract(t, before *rollout.Tally) {
-	if before.Answers > t.Answers {
+// subtract subtracts an earlier reading from a tally. A tally with fewer answers than the
+// earlier one has been reset and stays as it is.
+func subtract(t, earlier *rollout.Tally) {
+	if earlier.Answers > t.Answers {
 		return
 	}
-	t.Answers -= before.Answers
-	t.Failed -= min(before.Failed, t.Failed)
+	t.Answers -= earlier.Answers
+	t.Failed -= min(earlier.Failed, t.Failed)
 	for i := range t.Times {
-		if i < len(before.Times) {
-			t.Times[i] -= min(before.Times[i], t.Times[i])
+		if i < len(earlier.Times) {
+			t.Times[i] -= min(earlier.Times[i], t.Times[i])
 		}
 	}
 }
--- a/coordination/rollout/restored.go
+++ b/coordination/rollout/restored.go
@@ -5,33 +5,35 @@
 	"github.com/jacinthgate/jacinthgate/state/store"
 )
 
-// restored notes that the store has come back from an older copy. What it was told of
-// roll-outs is told again, unless it still holds it: a verdict stands.
-func (c *Core) restored(life uint64) {
-	c.life, c.restoredAt = life, c.now
-	for _, r := range c.runs {
-		if store.Life(r.row) != life {
-			r.row = 0
+// restored handles a restore of the store from an older copy. Phases recorded since that copy
+// are written again, unless the store still holds them: a verdict stands.
+func (c *Core) restored(epoch uint64) {
+	c.epoch, c.restoredAt = epoch, c.now
+	for _, r := range c.rollouts {
+		if store.Life(r.rowRevision) != epoch {
+			r.rowRevision = 0
 		}
 	}
 }
 
-// keep has the store told again how far a roll-out has got, where it is this node's turn.
-func (c *Core) keep(service string, r *run) {
-	if c.life == 0 {
+// rewriteRecord writes a roll-out's phase to the restored store again, if it is this node's
+// turn.
+func (c *Core) rewriteRecord(service string, r *localState) {
+	if c.epoch == 0 {
 		return
 	}
 	e, _ := c.table.Get(c.now, service)
-	if e.Kept >= c.life || !c.turn(r, c.now.Sub(c.restoredAt)) {
+	if e.Kept >= c.epoch || !c.rankDelayElapsed(r, c.now.Sub(c.restoredAt)) {
 		return
 	}
-	if phase := told(e.Phase); phase != rollout.Pending {
+	if phase := storedPhase(e.Phase); phase != rollout.Pending {
 		c.write(r, e, phase)
 	}
 }
 
-// told returns the phase that the store is told of; Pending where that is another step's.
-func told(p rollout.Phase) rollout.Phase {
+// storedPhase returns the phase that the store should hold for a phase p. It is Pending if
+// nothing has to be written again, because decide writes the next phase.
+func storedPhase(p rollout.Phase) rollout.Phase {
 	switch p {
 	case rollout.Shifting:
 		return rollout.Canary
@@ -42,10 +44,10 @@
 	}
 }
 
-// kept notes that the store holds what it has to be told of an order.
-func (c *Core) kept(held *rollout.Entry) {
+// markStored records in the entry that the restored store holds what it should of an order.
+func (c *Core) markStored(held *rollout.Entry) {
 	e, _ := c.table.Get(c.now, held.Order.Service)
-	if held.Phase == told(e.Phase) && (held.Order.Revision == e.Order.Revision || held.Order.Again(&e.Order)) {
+	if held.Phase == storedPhase(e.Phase) && (held.Order.Revision == e.Order.Revision || held.Order.Again(&e.Order)) {
 		e.Kept = max(e.Kept, held.Kept)
 		c.merge(e, false)
 	}
--- a/coordination/rollout/sharing.go
+++ b/coordination/rollout/sharing.go
@@ -12,45 +12,47 @@
 	"github.com/jacinthgate/jacinthgate/state/rollout"
 )
 
-// newsKey names a report that is to be passed on.
-type newsKey struct {
+// reportKey identifies a report that is to be forwarded.
+type reportKey struct {
 	service string
 	from    reporter
 }
 
-// news is a report that is to be passed on to others than the peer that has sent it.
-type news struct {
+// pendingReport is a report that is to be forwarded to all peers but the one it came from.
+type pendingReport struct {
 	report rollout.Report
 	from   model.NodeID // empty for this node's own
 }
 
-// report counts for the fleet where this node is one of those that do.
-func (c *Core) report() {
-	r := c.runs[c.counted.Service]
-	if r == nil || !r.judged() || c.counted.Version == "" || !c.reports(r) {
+// reportCounts shares the counts of the host's backend server if this node is a reporter.
+func (c *Core) reportCounts() {
+	r := c.rollouts[c.counted.Service]
+	if r == nil || !r.comparing() || c.counted.Version == "" || !c.isReporter(r) {
 		return
 	}
 	if r.instance != c.counted.Instance {
-		r.before, r.instance = c.counted.Tallies, c.counted.Instance
+		r.baseline, r.instance = c.counted.Tallies, c.counted.Instance
 	}
 	c.sequence++
-	c.take("", rollout.Report{
+	c.mergeReport("", rollout.Report{
 		Service: c.counted.Service, Revision: r.revision, Reporter: c.self, Incarnation: c.incarnation,
-		Version: c.counted.Version, Sequence: c.sequence, Tallies: since(c.counted.Tallies, r.before),
+		Version: c.counted.Version, Sequence: c.sequence, Tallies: countedSince(c.counted.Tallies, r.baseline),
 	})
 }
 
-// reports reports whether this node is one of the few of its version that count.
-func (c *Core) reports(r *run) bool {
+// isReporter reports whether this node is one of the maxReporters nodes of its version that
+// report their counts.
+func (c *Core) isReporter(r *localState) bool {
 	if c.view == nil {
 		return false
 	}
-	alike := func(s *endpoint.Record) bool { return s.Version == c.counted.Version }
-	return c.before(r, c.view.Service(c.counted.Service), maxReporters, alike) < maxReporters
+	sameVersion := func(s *endpoint.Record) bool { return s.Version == c.counted.Version }
+	return c.countBefore(r, c.view.Service(c.counted.Service), maxReporters, sameVersion) < maxReporters
 }
 
-// compare tells a random peer the digest, where it is time.
-func (c *Core) compare() {
+// sendDigest sends the table's digest to a random peer when the next anti-entropy exchange is
+// due.
+func (c *Core) sendDigest() {
 	to, due := c.peers.Compare(c.now)
 	if !due {
 		return
@@ -58,13 +60,13 @@
 	c.act(core.Send{To: to, Priority: message.Normal, Message: &message.RolloutsDigest{Hash: c.table.Digest()}})
 }
 
-// sendAll sends a peer all that is held.
+// sendAll sends a peer all entries, and all reports of roll-outs that have not ended.
 func (c *Core) sendAll(to model.NodeID) {
 	if c.table.Len() == 0 || !c.peers.Has(to) {
 		return
 	}
 	m := &message.Rollouts{Entries: c.table.All(c.now)}
-	for _, r := range c.runs {
+	for _, r := range c.rollouts {
 		if r.phase.Final() {
 			continue
 		}
@@ -75,35 +77,37 @@
 	c.act(core.Send{To: to, Priority: message.Urgent, Message: m})
 }
 
-// flush passes on to the peers what is news: entries at once, reports together.
+// flush sends the pending entries and reports to the peers: entries at once, reports with the
+// next entries or at the end of reportFlushInterval.
 func (c *Core) flush() {
-	due := len(c.news) > 0 && c.now.Sub(c.newsAt) >= newsInterval
-	if len(c.pending) == 0 && !due {
+	due := len(c.pendingReports) > 0 && c.now.Sub(c.flushedAt) >= reportFlushInterval
+	if len(c.pendingEntries) == 0 && !due {
 		return
 	}
 	var entries []rollout.Entry
-	for _, service := range slices.Sorted(maps.Keys(c.pending)) {
+	for _, service := range slices.Sorted(maps.Keys(c.pendingEntries)) {
 		if e, ok := c.table.Get(c.now, service); ok {
 			entries = append(entries, e)
 		}
 	}
 	for _, to := range c.peers.All() {
-		m := &message.Rollouts{Entries: entries, Reports: c.newsFor(to)}
+		m := &message.Rollouts{Entries: entries, Reports: c.reportsFor(to)}
 		if len(m.Entries)+len(m.Reports) > 0 {
 			c.act(core.Send{To: to, Priority: message.Urgent, Message: m})
 		}
 	}
-	clear(c.pending)
-	clear(c.news)
-	c.newsAt = c.now
+	clear(c.pendingEntries)
+	clear(c.pendingReports)
+	c.flushedAt = c.now
 }
 
-// newsFor returns the reports that a peer hasn't sent itself, in order of their names.
-func (c *Core) newsFor(to model.NodeID) []rollout.Report {
+// reportsFor returns the pending reports that didn't come from this peer, in the order of
+// service, reporter and incarnation.
+func (c *Core) reportsFor(to model.NodeID) []rollout.Report {
 	var reports []rollout.Report
-	for _, n := range c.news {
-		if n.from != to {
-			reports = append(reports, n.report)
+	for _, p := range c.pendingReports {
+		if p.from != to {
+			reports = append(reports, p.report)
 		}
 	}
 	slices.SortFunc(reports, func(a, b rollout.Report) int {
