--- a/coordination/rollout/core.go
+++ b/coordination/rollout/core.go
@@ -96,7 +96,7 @@
 	c.handle(ev)
 	c.flush()
 	if c.routingChanged {
-		c.act(Changed{})
+		c.act(RoutingChanged{})
 	}
 	return c.out
 }
@@ -166,7 +166,7 @@
 	}
 	if r.phase != after.Phase {
 		r.phase, r.phaseAt, r.dueSince = after.Phase, c.now, c.now
-		c.act(Turned{Entry: after, FoundHere: foundHere})
+		c.act(PhaseChanged{Entry: after, FoundHere: foundHere})
 	}
 }
 
@@ -184,7 +184,7 @@
 		phaseAt: c.now, dueSince: c.now,
 	}
 	c.rollouts[e.Order.Service] = r
-	c.act(Turned{Entry: e})
+	c.act(PhaseChanged{Entry: e})
 	return r
 }
 
@@ -225,18 +225,18 @@
 	c.sendDigest()
 }
 
-// Lanes returns the lanes of all services that have had a roll-out.
-func (c *Core) Lanes() *Lanes {
-	l := &Lanes{services: make(map[string]*Lane, len(c.rollouts))}
+// Routing returns the routing of all services that have had a roll-out.
+func (c *Core) Routing() *RoutingTable {
+	rt := &RoutingTable{services: make(map[string]*Routing, len(c.rollouts))}
 	for service, r := range c.rollouts {
 		e, _ := c.table.Get(c.now, service)
 		var servers []endpoint.Record
 		if c.view != nil {
 			servers = c.view.Service(service)
 		}
-		l.services[service] = newLane(&e, c.table.Doubted(service), servers, r)
+		rt.services[service] = newRouting(&e, c.table.Doubted(service), servers, r)
 	}
-	return l
+	return rt
 }
 
 // Running reports whether a service has a roll-out that has not ended.
--- a/coordination/rollout/core_test.go
+++ b/coordination/rollout/core_test.go
@@ -46,12 +46,12 @@
 }
 
 type member struct {
-	core   *Core
-	record endpoint.Record
-	meter  Meter
-	lanes  *Lanes
-	dead   bool
-	due    float64
+	core    *Core
+	record  endpoint.Record
+	meter   Meter
+	routing *RoutingTable
+	dead    bool
+	due     float64
 }
 
 type envelope struct {
@@ -141,9 +141,9 @@
 			if to := f.index(a.To); f.links[[2]model.NodeID{m.record.Node, a.To}] {
 				f.queue = append(f.queue, envelope{i, to, a.Message, f.now.Add(hopTime)})
 			}
-		case Changed:
-			m.lanes = m.core.Lanes()
-		case Turned:
+		case RoutingChanged:
+			m.routing = m.core.Routing()
+		case PhaseChanged:
 			f.phases[m.record.Node] = a.Entry.Phase
 		case Record:
 			f.write(i, a)
@@ -213,24 +213,24 @@
 
 func (f *fleet) request(m *member) {
 	s := workloads[f.rng.IntN(len(workloads))]
-	lane := m.lanes.Of(svc)
+	routing := m.routing.Of(svc)
 	servers := f.records()
 	canary := false
-	if lane != nil {
-		servers = lane.Main
-		if lane.Try(s.work.Kind != model.KindNonRepeatable) {
-			servers, canary = lane.Canaries, true
+	if routing != nil {
+		servers = routing.Main
+		if routing.AllowCanary(s.work.Kind != model.KindNonRepeatable) {
+			servers, canary = routing.Canaries, true
 		}
 	}
 	if len(servers) == 0 {
 		return
 	}
 	to := f.nodes[f.index(servers[f.rng.IntN(len(servers))].Node)]
-	if to.dead || to.lanes.Of(svc).Rejects(to.record.Version) {
+	if to.dead || to.routing.Of(svc).Rejects(to.record.Version) {
 		return
 	}
-	if lane != nil && !canary {
-		lane.Reached()
+	if routing != nil && !canary {
+		routing.CreditCanary()
 	}
 	f.reached++
 	v := version{speeds: []float64{1}}
@@ -401,7 +401,7 @@
 			scenario(f)
 			must.Eq(t, rollout.Succeeded, f.store.held.Phase)
 			for _, m := range f.nodes {
-				for _, r := range m.lanes.Of(svc).Main {
+				for _, r := range m.routing.Of(svc).Main {
 					must.True(t, m.dead || r.Version == "v2")
 				}
 			}
@@ -419,9 +419,9 @@
 	must.Eq(t, rollout.Succeeded, f.store.held.Phase)
 	f.nodes[0].record.Version = "v3"
 	f.publish()
-	must.Len(t, 12, f.nodes[1].lanes.Of(svc).Main)
+	must.Len(t, 12, f.nodes[1].routing.Of(svc).Main)
 	f.run(12 * time.Second)
-	must.Len(t, 24, f.nodes[1].lanes.Of(svc).Main)
+	must.Len(t, 24, f.nodes[1].routing.Of(svc).Main)
 }
 
 // Requests are not shifted to a version with too few slots.
--- a/coordination/rollout/doc.go
+++ b/coordination/rollout/doc.go
@@ -10,7 +10,7 @@
 //     version stops it everywhere. The nodes then attempt to write to the store one after
 //     the other, in an order that differs between roll-outs; a condition on the row's
 //     revision lets only one verdict win.
-//   - A Lane holds the backend servers of a service that requests may be sent to.
+//   - A Routing holds the backend servers of a service that requests may be sent to.
 //   - An Allowance limits the requests that one node sends to a version on trial to a
 //     fraction of those that the same node has sent to the other version, so that the limit
 //     holds for the whole fleet under any network partition.
--- a/coordination/rollout/event.go
+++ b/coordination/rollout/event.go
@@ -58,11 +58,12 @@
 // Event implements core.Event.
 func (Servers) Event() {}
 
-// Changed requests that the driver publish the result of Core.Lanes, which may have changed.
-type Changed struct{}
+// RoutingChanged requests that the driver publish the result of Core.Routing, which may have
+// changed.
+type RoutingChanged struct{}
 
-// Turned reports that a roll-out has begun or has entered another phase.
-type Turned struct {
+// PhaseChanged reports that a roll-out has begun or has entered another phase.
+type PhaseChanged struct {
 	Entry rollout.Entry
 	// FoundHere is set if this node has found the fault that stopped the roll-out.
 	FoundHere bool
@@ -76,10 +77,10 @@
 }
 
 // Action implements core.Action.
-func (Changed) Action() {}
+func (RoutingChanged) Action() {}
 
 // Action implements core.Action.
-func (Turned) Action() {}
+func (PhaseChanged) Action() {}
 
 // Action implements core.Action.
 func (Record) Action() {}
--- a/coordination/rollout/lane.go
+++ b/coordination/rollout/lane.go
@@ -10,25 +10,26 @@
 	"github.com/jacinthgate/jacinthgate/state/rollout"
 )
 
-// Lanes holds the lane of each service that has had a roll-out. It is immutable; a nil Lanes
-// is empty.
-type Lanes struct {
-	services map[string]*Lane
+// RoutingTable holds the Routing of each service that has had a roll-out. It is immutable; a
+// nil RoutingTable is empty.
+type RoutingTable struct {
+	services map[string]*Routing
 }
 
-// Of returns the lane of a service; nil if all its backend servers may be used.
-func (l *Lanes) Of(service string) *Lane {
-	if l == nil {
+// Of returns the routing of a service; nil if all its backend servers may be used.
+func (rt *RoutingTable) Of(service string) *Routing {
+	if rt == nil {
 		return nil
 	}
-	return l.services[service]
+	return rt.services[service]
 }
 
-// Lane holds the backend servers of one service that requests may be sent to.
-type Lane struct {
+// Routing holds the backend servers of one service that requests may be sent to.
+type Routing struct {
 	// Main are the backend servers that any request may be sent to.
 	Main []endpoint.Record
-	// Canaries are the backend servers that a request may be sent to only if Try allows it.
+	// Canaries are the backend servers that a request may be sent to only if AllowCanary
+	// permits it.
 	Canaries []endpoint.Record
 	// CanaryService replaces the service when a canary is picked, so that the balancer keeps
 	// separate estimates for the two versions.
@@ -41,63 +42,64 @@
 	allowance      *Allowance
 }
 
-// Try reports whether a request may be sent to a canary. If so, it has taken one request from
-// the allowance, which Spare returns if the request isn't sent.
-func (l *Lane) Try(repeatable bool) bool {
-	return len(l.Canaries) > 0 && (repeatable || !l.repeatableOnly) && l.allowance.take()
+// AllowCanary reports whether a request may be sent to a canary. If so, it has taken one
+// request from the allowance, which RefundCanary returns if the request isn't sent.
+func (rt *Routing) AllowCanary(repeatable bool) bool {
+	return len(rt.Canaries) > 0 && (repeatable || !rt.repeatableOnly) && rt.allowance.take()
 }
 
-// Spare returns one request to the allowance, for a request that Try has allowed and that
-// wasn't sent.
-func (l *Lane) Spare() { l.allowance.add(oneRequest) }
+// RefundCanary returns one request to the allowance, for a request that AllowCanary has
+// permitted and that wasn't sent.
+func (rt *Routing) RefundCanary() { rt.allowance.add(oneRequest) }
 
-// Reached adds the canary's fraction of one request to the allowance. It is called for each
-// request that has reached a backend server of Main; requests that reach none do not count.
-func (l *Lane) Reached() {
-	if len(l.Canaries) > 0 {
-		l.allowance.earn()
+// CreditCanary adds the canary's fraction of one request to the allowance. It is called for
+// each request that has reached a backend server of Main; requests that reach none do not
+// count.
+func (rt *Routing) CreditCanary() {
+	if len(rt.Canaries) > 0 {
+		rt.allowance.earn()
 	}
 }
 
-// Tries reports whether a version is on trial.
-func (l *Lane) Tries(version string) bool { return version == l.target && len(l.Canaries) > 0 }
+// OnTrial reports whether a version is on trial.
+func (rt *Routing) OnTrial(version string) bool { return version == rt.target && len(rt.Canaries) > 0 }
 
 // Rejects reports whether backend servers of a version must not receive requests.
-func (l *Lane) Rejects(version string) bool {
-	if l == nil {
+func (rt *Routing) Rejects(version string) bool {
+	if rt == nil {
 		return false
 	}
-	return l.targetExcluded && version == l.target || slices.Contains(l.rejected, version)
+	return rt.targetExcluded && version == rt.target || slices.Contains(rt.rejected, version)
 }
 
 // canarySuffix ends the name of a CanaryService. No real service has such a name.
 const canarySuffix = "/canary"
 
-// newLane returns the lane of a service with these backend servers. Backend servers of
+// newRouting returns the routing of a service with these backend servers. Backend servers of
 // doubted versions are used only if there are no others.
-func newLane(e *rollout.Entry, doubted []string, servers []endpoint.Record, r *localState) *Lane {
-	l := &Lane{target: e.Order.Target, rejected: e.Rejected, repeatableOnly: r.repeatableOnly, allowance: r.allowance}
+func newRouting(e *rollout.Entry, doubted []string, servers []endpoint.Record, r *localState) *Routing {
+	rt := &Routing{target: e.Order.Target, rejected: e.Rejected, repeatableOnly: r.repeatableOnly, allowance: r.allowance}
 	switch e.Phase {
 	case rollout.Pending, rollout.Stopped, rollout.Reverted:
-		l.targetExcluded = true
+		rt.targetExcluded = true
 	}
-	base, target := l.split(servers)
+	base, target := rt.split(servers)
 	switch {
 	case r.exclusionOver:
-		l.Main = append(base, target...)
+		rt.Main = append(base, target...)
 	case e.Phase == rollout.Shifting, e.Phase == rollout.Succeeded:
-		l.Main = target
+		rt.Main = target
 		if len(target) == 0 {
-			l.Main = base // the old version is better than none
+			rt.Main = base // the old version is better than none
 		}
 	case e.Phase == rollout.Canary:
-		l.Main = base
-		l.Canaries = chooseCanaries(e.Order.Revision, target, r.allowance.canaryCount(len(base)))
-		l.CanaryService = &model.Service{Name: e.Order.Service + canarySuffix}
+		rt.Main = base
+		rt.Canaries = chooseCanaries(e.Order.Revision, target, r.allowance.canaryCount(len(base)))
+		rt.CanaryService = &model.Service{Name: e.Order.Service + canarySuffix}
 	default:
-		l.Main = withoutVersions(base, doubted)
+		rt.Main = withoutVersions(base, doubted)
 	}
-	return l
+	return rt
 }
 
 // withoutVersions returns the backend servers of all but the given versions, or all of them
@@ -115,12 +117,12 @@
 
 // split returns the backend servers of other versions and those of the target. Those of
 // rejected versions are in neither list.
-func (l *Lane) split(servers []endpoint.Record) (base, target []endpoint.Record) {
+func (rt *Routing) split(servers []endpoint.Record) (base, target []endpoint.Record) {
 	for i := range servers {
 		switch r := servers[i]; {
-		case r.Version == l.target:
+		case r.Version == rt.target:
 			target = append(target, r)
-		case !slices.Contains(l.rejected, r.Version):
+		case !slices.Contains(rt.rejected, r.Version):
 			base = append(base, r)
 		}
 	}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -156,9 +156,9 @@
 		l.quarantined(a)
 	case evacuation.Changed:
 		l.evacuationChanged(now, a)
-	case rollout.Changed:
-		l.pub.lanes.Store(l.rollouts.Lanes())
-	case rollout.Turned:
+	case rollout.RoutingChanged:
+		l.pub.routing.Store(l.rollouts.Routing())
+	case rollout.PhaseChanged:
 		l.turned(a)
 	case rollout.Record:
 		l.record(now, a)
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -36,7 +36,7 @@
 	view     atomic.Pointer[endpoint.View]
 	instance atomic.Pointer[instance.Instance]
 	suspects atomic.Pointer[suspect.View]
-	lanes    atomic.Pointer[rollout.Lanes]
+	routing  atomic.Pointer[rollout.RoutingTable]
 	// evacuations are the evacuated zones; nil before the first evacuation.
 	evacuations atomic.Pointer[evacuations]
 	// leaving is set when the node takes no more callers, withdrawn when it also
--- a/internal/sidecar/rollout.go
+++ b/internal/sidecar/rollout.go
@@ -33,7 +33,7 @@
 }
 
 // turned tells that a roll-out has got on.
-func (l *loop) turned(a rollout.Turned) {
+func (l *loop) turned(a rollout.PhaseChanged) {
 	e := &a.Entry
 	_ = level.Info(l.log).Log("event", "rollout_turned", "service", e.Order.Service, "target", e.Order.Target,
 		"order", store.Transaction(e.Order.Revision), "phase", e.Phase, "age", e.Age, "reason", e.Reason, "found_here", a.FoundHere)
--- a/transport/inbound/gate.go
+++ b/transport/inbound/gate.go
@@ -76,9 +76,9 @@
 	Replaced func(key string)
 	// Meter counts what becomes of the requests that are run.
 	Meter *rollout.Meter
-	// Lanes returns which versions of backend servers get requests. It is one atomic
+	// Routing returns which versions of backend servers get requests. It is one atomic
 	// load; nil knows of no roll-out.
-	Lanes func() *rollout.Lanes
+	Routing func() *rollout.RoutingTable
 	// Metrics is the set that metrics are registered in.
 	Metrics *metrics.Set
 	// Logger gets one line for each event, and Details those on attempts that are part of a
@@ -167,7 +167,7 @@
 // withdrawn reports whether the backend server is of a version that gets nothing: an
 // entry node may not know it yet.
 func (g *Gate) withdrawn(i *instance.Instance) bool {
-	return g.cfg.Lanes().Of(i.Service).Rejects(i.Version)
+	return g.cfg.Routing().Of(i.Service).Rejects(i.Version)
 }
 
 // leaving reports whether a start of the backend server has said goodbye.
--- a/transport/inbound/repeat_test.go
+++ b/transport/inbound/repeat_test.go
@@ -59,7 +59,7 @@
 		Succeeded:   func(suspect.Fingerprint) {},
 		Unreachable: func(string) {},
 		Meter:       new(rollout.Meter),
-		Lanes:       func() *rollout.Lanes { return nil },
+		Routing:     func() *rollout.RoutingTable { return nil },
 		Metrics:     metrics.NewSet(),
 		Logger:      log.NewNopLogger(),
 		Now:         time.Now,
--- a/transport/outbound/exchange.go
+++ b/transport/outbound/exchange.go
@@ -181,11 +181,11 @@
 // pick chooses the backend server for the next send.
 func (x *exchange) pick(now time.Time) (balance.Choice, error) {
 	want := balance.PickOptions{Work: x.work(), MaxNearWait: max(0, x.due().Sub(now)/patiencePart)}
-	lane := x.p.cfg.Lanes().Of(x.service.Name)
-	if c, ok := x.pickCanary(now, lane, want); ok {
+	routing := x.p.cfg.Routing().Of(x.service.Name)
+	if c, ok := x.pickCanary(now, routing, want); ok {
 		return c, nil
 	}
-	servers := x.candidates(lane)
+	servers := x.candidates(routing)
 	x.others = len(servers) > 1
 	if x.route.Kind == model.KindBulk {
 		return x.pickLink(now, servers, want)
@@ -199,9 +199,9 @@
 const patiencePart = 2
 
 // candidates returns the backend servers that any request may be sent to.
-func (x *exchange) candidates(lane *rollout.Lane) []endpoint.Record {
-	if lane != nil {
-		return lane.Main
+func (x *exchange) candidates(routing *rollout.Routing) []endpoint.Record {
+	if routing != nil {
+		return routing.Main
 	}
 	if view := x.p.cfg.View(); view != nil {
 		return view.Service(x.service.Name)
--- a/transport/outbound/exchange_test.go
+++ b/transport/outbound/exchange_test.go
@@ -77,7 +77,7 @@
 		Self:          "elsewhere",
 		Table:         func() *route.Table { return table },
 		View:          func() *endpoint.View { return view },
-		Lanes:         func() *rollout.Lanes { return nil },
+		Routing:       func() *rollout.RoutingTable { return nil },
 		CallerService: func() string { return "caller" },
 		Balance:       balance.New(balance.DefaultConfig(), "z", "r", 1),
 		Policy:        attempt.DefaultPolicy(),
--- a/transport/outbound/proxy.go
+++ b/transport/outbound/proxy.go
@@ -35,9 +35,9 @@
 	Table func() *route.Table
 	// View returns the backend servers. It is one atomic load.
 	View func() *endpoint.View
-	// Lanes returns which backend servers requests may be sent to in a roll-out. It is
+	// Routing returns which backend servers requests may be sent to in a roll-out. It is
 	// one atomic load; nil knows of none.
-	Lanes func() *rollout.Lanes
+	Routing func() *rollout.RoutingTable
 	// CallerService returns the service of the backend server on this host.
 	CallerService func() string
 	// Balance picks backend servers.
