--- a/coordination/bucket/bucket_test.go
+++ b/coordination/bucket/bucket_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1000, 0)
 
-func TestTakeRefillsAndTellsTheWait(t *testing.T) {
+func TestTakeRefillsAndReturnsTheWait(t *testing.T) {
 	var b Bucket
 	s := Size{PerSecond: 10, Burst: 2}
 	for range 2 {
@@ -37,8 +37,8 @@
 	must.False(t, ok)
 }
 
-// Many buckets far below one token together admit what they hold, even when
-// every caller asks again and again.
+// Many buckets with far less than one token each together admit what they hold, even if
+// every caller retries continually.
 func TestSmallBucketsAdmitTheirSum(t *testing.T) {
 	rand := random.New(1)
 	buckets := make([]Bucket, 1000)
--- a/coordination/budget/bucket.go
+++ b/coordination/budget/bucket.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// bucket is a token bucket of bytes. Tokens may be negative: that is what was
-// overdrawn.
+// bucket is a token bucket of bytes. A negative token count is overdraft.
 type bucket struct {
 	rate, burst, overdraw float64
 	tokens                float64
@@ -17,8 +16,8 @@
 	return bucket{rate: cfg.BytesPerSecond, burst: cfg.Burst, overdraw: cfg.Overdraw, tokens: cfg.Burst, last: now}
 }
 
-// refill adds the tokens since the last call. Time that goes backwards adds
-// none.
+// refill adds the tokens for the time since the last call. It ignores time that goes
+// backwards.
 func (b *bucket) refill(now time.Time) {
 	elapsed := now.Sub(b.last)
 	if elapsed <= 0 {
@@ -28,18 +27,18 @@
 	b.tokens = min(b.burst, b.tokens+elapsed.Seconds()*b.rate)
 }
 
-// wait returns the time until size bytes may be taken; 0 is now. A message
-// larger than the whole bucket needs a full one.
+// wait returns the time until size bytes may be taken; 0 means now. A message larger than
+// the burst needs a full bucket.
 func (b *bucket) wait(size int, overdraw bool) time.Duration {
 	need := float64(size)
 	if overdraw {
 		need -= b.overdraw
 	}
-	lack := min(need, b.burst) - b.tokens
-	if lack <= 0 {
+	shortfall := min(need, b.burst) - b.tokens
+	if shortfall <= 0 {
 		return 0
 	}
-	return time.Duration(math.Ceil(lack / b.rate * float64(time.Second)))
+	return time.Duration(math.Ceil(shortfall / b.rate * float64(time.Second)))
 }
 
 func (b *bucket) take(size int) { b.tokens -= float64(size) }
--- a/coordination/budget/budget.go
+++ b/coordination/budget/budget.go
@@ -1,21 +1,19 @@
-// Package budget decides which waiting message is sent next and when, so that
-// a node's control traffic keeps within its bytes per second. Each peer has a
-// bounded queue; all peers draw on one token bucket.
+// Package budget schedules a node's control messages so that they stay within a budget of
+// bytes per second. Each peer has a bounded queue; all peers share one token bucket.
 //
-// The order: urgent before normal before routine, and round robin over the
-// peers within a priority. Two exceptions prevent starvation. After
-// MaxPassed urgent messages in a row while a normal one waited, the next one
-// is normal. After MaxPassed normal messages in a row while a routine one
-// waited, the next one is routine, unless an urgent one waits: an urgent
-// message never waits behind a routine one. So urgent messages without end
-// delay normal ones by at most MaxPassed messages each, and routine ones
-// without limit.
+// Messages are sent in order of priority (urgent, normal, routine), and round robin over the
+// peers within a priority. Two exceptions prevent starvation. After MaxPassed consecutive
+// urgent messages while a normal one waited, the next message is normal. After MaxPassed
+// consecutive normal messages while a routine one waited, the next message is routine, unless
+// an urgent one waits: an urgent message never waits for a routine one. So a continuous
+// stream of urgent messages delays each normal message by at most MaxPassed messages, and
+// routine ones indefinitely.
 //
-// The bound: in any time t the messages taken sum up to at most
+// In any period of t seconds the messages returned by Pop add up to at most
 //
 //	BytesPerSecond*t + max(Burst+Overdraw, the largest message)
 //
-// The package is pure: it has no clock, and one goroutine owns a Scheduler.
+// bytes. The package does no I/O and reads no clock. A Scheduler is for use by one goroutine.
 package budget
 
 import (
@@ -25,24 +23,23 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// MaxPassed is how many messages of a higher priority may go before a waiting
-// one of the next lower priority gets a turn.
+// MaxPassed is the number of consecutive messages that may be sent before a waiting message
+// of the next lower priority gets a turn.
 const MaxPassed = 16
 
 // Config configures a Scheduler.
 type Config struct {
-	// BytesPerSecond is the mean rate of all peers together.
+	// BytesPerSecond is the mean rate for all peers together.
 	BytesPerSecond float64
-	// Burst is the size of the bucket in bytes: what may be sent at once after
-	// a quiet time. It should hold a whole configuration, so that a peer that
-	// joins gets it at once.
+	// Burst is the capacity of the bucket in bytes, which may be sent at once after an idle
+	// period. It should hold a whole configuration, so that a peer that joins gets it at once.
 	Burst float64
-	// Overdraw is how many bytes urgent messages may take beyond an empty
-	// bucket, so that a version head does not wait for a body's bytes.
+	// Overdraw is how many bytes urgent messages may take from an empty bucket, so that a
+	// version head doesn't wait for the bytes of a body.
 	Overdraw float64
-	// PeerMessages bounds the messages that wait for one peer.
+	// PeerMessages limits the messages queued for one peer.
 	PeerMessages int
-	// PeerBytes bounds the bytes that wait for one peer.
+	// PeerBytes limits the bytes queued for one peer.
 	PeerBytes int
 }
 
@@ -55,7 +52,7 @@
 	defaultPeerBytes    = 2 << 20
 )
 
-// DefaultConfig returns the defaults: 8 KB/s, as the project's design size
+// DefaultConfig returns the defaults. The rate is 8 KB/s, which the project's design size
 // sets for a node.
 func DefaultConfig() Config {
 	return Config{
@@ -67,31 +64,31 @@
 	}
 }
 
-// Item is one waiting message.
+// Item is a queued message.
 type Item struct {
 	// Peer is the receiver.
 	Peer model.NodeID
-	// Priority orders the item.
+	// Priority is the message's priority.
 	Priority message.Priority
-	// Key names what the message is about. A newer item for the same peer
-	// with the same key replaces a waiting one. Empty means no replacement.
+	// Key identifies the subject of the message. A new item replaces a queued one with the
+	// same peer and key. Items with an empty key are never replaced.
 	Key string
-	// Payload is the encoded message; its length is what it costs.
+	// Payload is the encoded message; its length counts against the budget.
 	Payload []byte
 }
 
 func (i *Item) size() int { return len(i.Payload) }
 
-// Scheduler holds the queues and the bucket.
+// Scheduler holds the peers' queues and the token bucket.
 type Scheduler struct {
 	cfg    Config
 	bucket bucket
 	peers  map[model.NodeID]*peerQueue
-	// order is the round robin's order; next is where each priority goes on.
-	order []*peerQueue
-	next  [message.NumPriorities]int
-	// passed counts the messages in a row of each priority that went while
-	// one of the next lower priority waited.
+	// roundRobin is the order of the peers; nextPeer is each priority's position in it.
+	roundRobin []*peerQueue
+	nextPeer   [message.NumPriorities]int
+	// passed counts, for each priority, the consecutive messages that were sent while one of
+	// the next lower priority waited.
 	passed [message.NumPriorities]int
 }
 
@@ -104,16 +101,15 @@
 	}
 }
 
-// Push queues an item. A waiting item with the same peer and key is replaced
-// in place, or removed when its priority differs. When the peer's queue is then
-// over its bounds, the oldest items of the lowest priority are dropped and
-// returned; that may be the new one.
+// Push queues an item. It replaces a queued item with the same peer and key in place, or
+// removes that one if its priority differs. If the peer's queue then exceeds its bounds, Push
+// drops the oldest items of the lowest priority, possibly the new one, and returns them.
 func (s *Scheduler) Push(item Item) (dropped []Item) {
 	q := s.peers[item.Peer]
 	if q == nil {
 		q = &peerQueue{peer: item.Peer}
 		s.peers[item.Peer] = q
-		s.order = append(s.order, q)
+		s.roundRobin = append(s.roundRobin, q)
 	}
 	q.put(item)
 	for q.count > s.cfg.PeerMessages || q.bytes > s.cfg.PeerBytes {
@@ -122,70 +118,70 @@
 	return dropped
 }
 
-// Pop takes the next item. With ok false nothing may be sent now: wait is the
-// time until the budget allows the next item, or 0 when no item waits.
+// Pop removes and returns the next item. If ok is false, nothing may be sent now: wait is the
+// time until the budget allows the next item, or 0 if no item waits.
 func (s *Scheduler) Pop(now time.Time) (item Item, wait time.Duration, ok bool) {
 	s.bucket.refill(now)
-	p, owed := s.choose()
+	p, promoted := s.choose()
 	if p == message.NumPriorities {
 		return Item{}, 0, false
 	}
-	at := s.find(p)
-	q := s.order[at]
+	index := s.nextQueue(p)
+	q := s.roundRobin[index]
 	size := q.items[p][0].size()
-	overdraw := p == message.Urgent || owed
+	overdraw := p == message.Urgent || promoted
 	if wait := s.bucket.wait(size, overdraw); wait > 0 {
 		return Item{}, wait, false
 	}
 	s.bucket.take(size)
-	s.count(p)
-	s.next[p] = (at + 1) % len(s.order)
+	s.countSent(p)
+	s.nextPeer[p] = (index + 1) % len(s.roundRobin)
 	return q.take(p), 0, true
 }
 
-// Block holds back the items of a peer that can't take one now.
+// Block suspends the queue of a peer that can't accept a message now.
 func (s *Scheduler) Block(peer model.NodeID) {
 	if q := s.peers[peer]; q != nil {
 		q.blocked = true
 	}
 }
 
-// Unblock ends Block.
+// Unblock reverts Block.
 func (s *Scheduler) Unblock(peer model.NodeID) {
 	if q := s.peers[peer]; q != nil {
 		q.blocked = false
 	}
 }
 
-// Remove drops a peer's queue and returns the number of items in it.
+// Remove drops a peer's queue and returns the number of items that it held.
 func (s *Scheduler) Remove(peer model.NodeID) int {
 	q := s.peers[peer]
 	if q == nil {
 		return 0
 	}
 	delete(s.peers, peer)
-	for i, other := range s.order {
+	for i, other := range s.roundRobin {
 		if other == q {
-			s.order = append(s.order[:i], s.order[i+1:]...)
+			s.roundRobin = append(s.roundRobin[:i], s.roundRobin[i+1:]...)
 			break
 		}
 	}
 	return q.count
 }
 
-// Len returns the number of items that wait for all peers.
+// Len returns the number of queued items of all peers.
 func (s *Scheduler) Len() int {
 	n := 0
-	for _, q := range s.order {
+	for _, q := range s.roundRobin {
 		n += q.count
 	}
 	return n
 }
 
-// choose returns the priority whose turn it is, or NumPriorities when nothing
-// waits. owed is set for a turn that normal got by being passed over: it may
-// overdraw like the urgent messages in whose place it goes.
-func (s *Scheduler) choose() (p message.Priority, owed bool) {
+// choose returns the priority of the next message, or NumPriorities if nothing waits.
+// promoted is set if a normal message goes next because MaxPassed urgent ones were sent before
+// it: it may overdraw the bucket as the urgent message in its place could.
+func (s *Scheduler) choose() (p message.Priority, promoted bool) {
 	urgent, normal, routine := s.waits(message.Urgent), s.waits(message.Normal), s.waits(message.Routine)
 	switch {
 	case urgent && normal && s.passed[message.Urgent] >= MaxPassed:
@@ -203,8 +199,8 @@
 	}
 }
 
-// count notes that an item of the priority goes.
-func (s *Scheduler) count(p message.Priority) {
+// countSent updates passed after an item of the priority was sent.
+func (s *Scheduler) countSent(p message.Priority) {
 	if p > 0 {
 		s.passed[p-1] = 0
 	}
@@ -213,16 +209,16 @@
 	}
 }
 
-func (s *Scheduler) waits(p message.Priority) bool { return s.find(p) >= 0 }
+func (s *Scheduler) waits(p message.Priority) bool { return s.nextQueue(p) >= 0 }
 
-// find returns the place in the order of the peer whose turn it is in the
-// priority, or -1.
-func (s *Scheduler) find(p message.Priority) int {
-	for i := range s.order {
-		at := (s.next[p] + i) % len(s.order)
-		q := s.order[at]
+// nextQueue returns the index in roundRobin of the queue whose turn it is in the priority, or
+// -1 if no unblocked queue has such an item.
+func (s *Scheduler) nextQueue(p message.Priority) int {
+	for i := range s.roundRobin {
+		index := (s.nextPeer[p] + i) % len(s.roundRobin)
+		q := s.roundRobin[index]
 		if !q.blocked && len(q.items[p]) > 0 {
-			return at
+			return index
 		}
 	}
 	return -1
--- a/coordination/budget/budget_test.go
+++ b/coordination/budget/budget_test.go
@@ -18,7 +18,7 @@
 	return Item{Peer: model.NodeID(peer), Priority: p, Key: key, Payload: []byte(payload)}
 }
 
-// drain pops all that is allowed at the time and returns the payloads.
+// drain pops all items that the budget allows at the time and returns their payloads.
 func drain(s *Scheduler, now time.Time) string {
 	all := ""
 	for {
@@ -92,13 +92,13 @@
 	must.Eq(t, "n", drain(s, start.Add(1200*time.Millisecond)))
 }
 
-// sent is one item that was popped.
+// sent records an item that was popped.
 type sent struct {
 	at   time.Time
 	size int
 }
 
-func TestNeverMoreThanTheBudget(t *testing.T) {
+func TestSentBytesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{PeerMessages: 20, PeerBytes: 5000}
 		cfg.BytesPerSecond = float64(rapid.IntRange(1, 1000).Draw(t, "rate"))
--- a/coordination/budget/queue.go
+++ b/coordination/budget/queue.go
@@ -7,7 +7,7 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// peerQueue holds the items that wait for one peer, oldest first.
+// peerQueue holds the items queued for one peer, oldest first within each priority.
 type peerQueue struct {
 	peer    model.NodeID
 	items   [message.NumPriorities][]Item
@@ -16,7 +16,7 @@
 	blocked bool
 }
 
-// put adds the item, or replaces the one with its key.
+// put adds the item, or replaces a queued item with the same key.
 func (q *peerQueue) put(item Item) {
 	if item.Key != "" && q.replace(item) {
 		return
@@ -26,29 +26,29 @@
 	q.bytes += item.size()
 }
 
-// replace reports whether the item took the place of one with its key. One of
-// another priority is removed instead.
+// replace replaces a queued item with the same key and priority and reports whether it did. It
+// removes an item with the same key and another priority.
 func (q *peerQueue) replace(item Item) bool {
 	for p := range q.items {
-		at := slices.IndexFunc(q.items[p], func(o Item) bool { return o.Key == item.Key })
-		if at < 0 {
+		index := slices.IndexFunc(q.items[p], func(o Item) bool { return o.Key == item.Key })
+		if index < 0 {
 			continue
 		}
 		if p != int(item.Priority) {
-			q.remove(message.Priority(p), at)
+			q.remove(message.Priority(p), index)
 			return false
 		}
-		q.bytes += item.size() - q.items[p][at].size()
-		q.items[p][at] = item
+		q.bytes += item.size() - q.items[p][index].size()
+		q.items[p][index] = item
 		return true
 	}
 	return false
 }
 
-// take removes the oldest item of the priority.
+// take removes and returns the oldest item of the priority.
 func (q *peerQueue) take(p message.Priority) Item { return q.remove(p, 0) }
 
-// dropOldest removes the oldest item of the lowest priority that waits.
+// dropOldest removes and returns the oldest item of the lowest priority in the queue.
 func (q *peerQueue) dropOldest() Item {
 	p := message.NumPriorities - 1
 	for len(q.items[p]) == 0 {
@@ -57,9 +57,9 @@
 	return q.remove(message.Priority(p), 0)
 }
 
-func (q *peerQueue) remove(p message.Priority, at int) Item {
-	item := q.items[p][at]
-	q.items[p] = slices.Delete(q.items[p], at, at+1)
+func (q *peerQueue) remove(p message.Priority, index int) Item {
+	item := q.items[p][index]
+	q.items[p] = slices.Delete(q.items[p], index, index+1)
 	q.count--
 	q.bytes -= item.size()
 	return item
--- a/coordination/quota/config.go
+++ b/coordination/quota/config.go
@@ -6,74 +6,80 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Config tells how strictly quotas are kept.
+// Config sets how far requests may exceed their organisations' quotas.
 type Config struct {
-	// Zones is the number of availability zones, those that are away included.
+	// Zones is the number of availability zones, including unavailable ones.
 	Zones int
-	// Window is the time over which requests are counted.
+	// Window is the period over which requests are counted.
 	Window time.Duration
-	// Over is the part of a quota that may be served beyond it in a window, and Slack how
-	// many more requests may be.
+	// Over is the fraction by which a quota may be exceeded in a window, and Slack a number
+	// of requests that may be served in addition.
 	Over, Slack float64
 }
 
-// What may be served beyond a quota in a window is divided: some lets ledgers hold more than
-// the burst, since callers that keep to a small quota don't come evenly, and standbys hold some for
-// while an owner is gone. The rest is for what was let in before a ledger was lost, which still
-// counts, and for what both sides of a cut let in until they know of it (Config.doubled).
+// The allowance, which is what may be served in a window beyond a quota, is divided into parts.
+// One lets ledgers hold more than the burst, since the requests of a caller that keeps to a small
+// quota don't arrive evenly. Another lets standbys hold deposits for the time without an owner. The
+// rest covers requests that were admitted before a ledger was lost, which still count, and requests
+// that both sides of a network partition admit until they detect it (Config.duplicateLimit).
 const (
-	// heldOver and heldSlack are the parts of Over and Slack that ledgers hold.
-	heldOver  = 0.05
-	heldSlack = 0.4
-	// startPart is the part that new ledgers begin with, which no deposit was left for.
-	startPart = 0.15
-	// evenSharePart is the part that nodes begin with that find no owner.
-	evenSharePart = 0.12
-	// besidePart is the part that is issued ahead for standbys, beside what the ledgers hold.
-	besidePart = 0.2
+	// ledgerOverFraction and ledgerSlackFraction are the parts of Over and Slack that ledgers
+	// may hold beyond the burst.
+	ledgerOverFraction  = 0.05
+	ledgerSlackFraction = 0.4
+	// initialFraction is the part of the allowance that new ledgers start with if no deposit was
+	// left for them.
+	initialFraction = 0.15
+	// evenShareFraction is the part of the allowance that nodes start with when they reach no
+	// owner.
+	evenShareFraction = 0.12
+	// extraDepositFraction is the part of the allowance that is issued for deposits, in addition
+	// to what the ledgers hold.
+	extraDepositFraction = 0.2
 )
 
-// reducedPart is the part of its rate that is issued by who doesn't know whether the owner of a
-// ledger issues too: standbys and even shares.
-const reducedPart = 0.7
+// reducedRateFraction is the part of its rate at which a standby or an even share issues tokens
+// while the node can't determine whether the ledger's owner issues them too.
+const reducedRateFraction = 0.7
 
-// allowance returns how many requests beyond its quota an organisation may run in a window.
+// allowance returns the number of requests by which an organisation may exceed its quota in a
+// window.
 func (c Config) allowance(rate model.Rate) float64 {
 	return c.Over*(rate.PerSecond*c.Window.Seconds()+float64(rate.Burst)) + c.Slack
 }
 
-// start returns the tokens that a ledger begins with.
-func (c Config) start(rate model.Rate) float64 {
-	return min(c.part(rate).burst, startPart*c.allowance(rate)/float64(c.zones()))
+// initialTokens returns the tokens that a new ledger of a zone starts with.
+func (c Config) initialTokens(rate model.Rate) float64 {
+	return min(c.ledgerSize(rate).burst, initialFraction*c.allowance(rate)/float64(c.zones()))
 }
 
-// deposit returns the tokens that a zone issues ahead for its standby.
-func (c Config) deposit(rate model.Rate) float64 {
-	return min(c.part(rate).burst, besidePart*c.allowance(rate)/float64(c.zones()))
+// extraDeposit returns the tokens that a zone issues for its standby beyond its ledger's capacity.
+func (c Config) extraDeposit(rate model.Rate) float64 {
+	return min(c.ledgerSize(rate).burst, extraDepositFraction*c.allowance(rate)/float64(c.zones()))
 }
 
-// doubled returns the tokens that a zone's standby issues in a window while the owner may issue as
-// well: its part of what all else leaves of the allowance.
-func (c Config) doubled(rate model.Rate) float64 {
-	allowed := c.allowance(rate)
-	left := allowed*(1-startPart-evenSharePart-besidePart) - (c.hold(rate) - float64(rate.Burst))
-	return max(0, left) / float64(c.zones())
+// duplicateLimit returns the tokens that a zone's standby may issue in a window while the owner may
+// issue the same ones: the zone's part of the allowance that remains after all other uses.
+func (c Config) duplicateLimit(rate model.Rate) float64 {
+	allowance := c.allowance(rate)
+	remaining := allowance*(1-initialFraction-evenShareFraction-extraDepositFraction) - (c.fleetCapacity(rate) - float64(rate.Burst))
+	return max(0, remaining) / float64(c.zones())
 }
 
 func (c Config) zones() int { return max(1, c.Zones) }
 
-// size is how many tokens a ledger issues a second, how many it holds at most, and how many
-// its standby may hold beside that.
-type size struct{ perSecond, burst, beside float64 }
+// ledgerSize is the size of a ledger: the tokens issued per second, the tokens it holds at most, and
+// the tokens that its standby may hold in addition.
+type ledgerSize struct{ perSecond, burst, extraDeposit float64 }
 
-// hold returns how many tokens the fleet may hold of an organisation.
-func (c Config) hold(rate model.Rate) float64 {
-	return float64(rate.Burst) + heldSlack*c.Slack + heldOver*(c.allowance(rate)-c.Slack)
+// fleetCapacity returns the number of an organisation's tokens that the fleet's ledgers may hold.
+func (c Config) fleetCapacity(rate model.Rate) float64 {
+	return float64(rate.Burst) + ledgerSlackFraction*c.Slack + ledgerOverFraction*(c.allowance(rate)-c.Slack)
 }
 
-// part returns the size of a zone's ledger. It holds a whole token at least: without one no
-// request could be let in where the other zones are cut off.
-func (c Config) part(rate model.Rate) size {
+// ledgerSize returns the size of a zone's ledger. It holds at least one whole token: with less, a
+// zone that is cut off from the others could admit no request at all.
+func (c Config) ledgerSize(rate model.Rate) ledgerSize {
 	n := float64(c.zones())
-	return size{perSecond: rate.PerSecond / n, burst: max(1, c.hold(rate)/n)}
+	return ledgerSize{perSecond: rate.PerSecond / n, burst: max(1, c.fleetCapacity(rate)/n)}
 }
--- a/coordination/quota/deposit.go
+++ b/coordination/quota/deposit.go
@@ -7,128 +7,133 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// A deposit is the part of an owner's tokens that its standby holds, for while the owner can't be
-// reached. Who has it may give it out without knowing whether the owner issues on: the owner
-// counts it as held until it is told otherwise or the deposit has ended.
+// A deposit is the part of an owner's tokens that its standby holds, for use while the owner is
+// unreachable. The standby may give these tokens out without regard to whether the owner still
+// issues: the owner counts them as outstanding until the standby reports otherwise or they expire.
 
 const (
-	// depositPart is the part of a zone's burst that lies with the standby.
-	depositPart = 0.2
-	// depositPause is the least time between two messages about a deposit.
-	depositPause = time.Second
-	// depositTime is how long a deposit holds after it was last renewed.
-	depositTime = 10 * time.Second
-	// depositMargin is how much longer its owner counts it, for the time of a message.
-	depositMargin = time.Second
+	// burstDepositFraction is the fraction of a zone's burst that is deposited at the standby.
+	burstDepositFraction = 0.2
+	// minDepositInterval is the minimum time between two deposit messages.
+	minDepositInterval = time.Second
+	// depositLifetime is the time after its last renewal at which a deposit expires at the standby.
+	depositLifetime = 10 * time.Second
+	// depositExpiryMargin is how much longer the owner counts a deposit, to cover the transit time
+	// of a message.
+	depositExpiryMargin = time.Second
 )
 
-// given is what an owner knows of its deposit.
-type given struct {
+// placedDeposit is an owner's record of the tokens that its standbys may hold.
+type placedDeposit struct {
 	standby model.NodeID
-	tokens  float64 // the most that the standby holds
+	tokens  float64 // upper bound on what the standby holds
 	renewed time.Time
-	// former is what standbys before it may hold, until the moment formerEnds.
-	former     float64
-	formerEnds time.Time
+	// formerTokens is the upper bound on what previous standbys hold, until formerExpiry.
+	formerTokens float64
+	formerExpiry time.Time
 }
 
-// kept is what a standby holds for an owner.
-type kept struct {
+// heldDeposit is the deposit that a standby holds for an owner.
+type heldDeposit struct {
 	tokens  float64
 	renewed time.Time
 }
 
-// held returns the tokens that the standby may hold.
-func (g *given) held(now time.Time) float64 {
-	if !now.Before(g.ends()) {
-		g.tokens = 0
+// outstanding returns the upper bound on the tokens that the current standby holds.
+func (d *placedDeposit) outstanding(now time.Time) float64 {
+	if !now.Before(d.expiry()) {
+		d.tokens = 0
 	}
-	return g.tokens
+	return d.tokens
 }
 
-// ends returns when the last deposit has ended, wherever it is.
-func (g *given) ends() time.Time { return g.renewed.Add(depositTime + depositMargin) }
+// expiry returns the time at which the last deposit has expired on both nodes.
+func (d *placedDeposit) expiry() time.Time {
+	return d.renewed.Add(depositLifetime + depositExpiryMargin)
+}
 
-// sum returns the tokens that the standby and those before it may hold.
-func (g *given) sum(now time.Time) float64 {
-	if !now.Before(g.formerEnds) {
-		g.former = 0
+// totalOutstanding returns the upper bound on the tokens that the current and the previous
+// standbys hold.
+func (d *placedDeposit) totalOutstanding(now time.Time) float64 {
+	if !now.Before(d.formerExpiry) {
+		d.formerTokens = 0
 	}
-	return g.former + g.held(now)
+	return d.formerTokens + d.outstanding(now)
 }
 
-// follow notes which node is the standby.
-func (g *given) follow(now time.Time, standby model.NodeID) {
-	if g.standby == standby {
+// setStandby records the current standby. The deposit of the previous one stays counted until it
+// expires.
+func (d *placedDeposit) setStandby(now time.Time, standby model.NodeID) {
+	if d.standby == standby {
 		return
 	}
-	if g.held(now) > 0 {
-		g.former, g.formerEnds = g.sum(now), g.ends()
+	if d.outstanding(now) > 0 {
+		d.formerTokens, d.formerExpiry = d.totalOutstanding(now), d.expiry()
 	}
-	g.standby, g.tokens = standby, 0
+	d.standby, d.tokens = standby, 0
 }
 
-// valid reports whether a deposit was renewed lately; it may be empty.
-func (k *kept) valid(now time.Time) bool {
-	if now.Sub(k.renewed) >= depositTime {
-		*k = kept{}
+// valid reports whether the deposit, which may be empty, was renewed within depositLifetime.
+func (d *heldDeposit) valid(now time.Time) bool {
+	if now.Sub(d.renewed) >= depositLifetime {
+		*d = heldDeposit{}
 		return false
 	}
 	return true
 }
 
-// deposit returns how many tokens a standby holds: a whole one at least, or none.
-func (l *Ledger) deposit(rate model.Rate) float64 {
-	whole := l.cfg.deposit(rate) + depositPart*l.cfg.part(rate).burst
-	if whole < 1 {
+// depositSize returns the maximum deposit at a standby in tokens: at least one whole token, or 0.
+func (l *Ledger) depositSize(rate model.Rate) float64 {
+	zoneDeposit := l.cfg.extraDeposit(rate) + burstDepositFraction*l.cfg.ledgerSize(rate).burst
+	if zoneDeposit < 1 {
 		return 0
 	}
-	return max(1, l.share*whole)
+	return max(1, l.liveFraction*zoneDeposit)
 }
 
-// Deposit returns the tokens that an owner leaves with its standby now, and whether a message is
-// due; it may give none and only renew. They are taken from the ledger.
+// Deposit moves tokens of the ledger to the deposit at the standby. It returns their number and
+// whether a deposit message is due; a message with 0 tokens only renews the deposit.
 func (l *Ledger) Deposit(now time.Time, organisation string, standby model.NodeID) (tokens float64, due bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[organisation]
-	if e == nil || !e.owned || now.Sub(e.given.renewed) < depositPause {
+	if e == nil || !e.owned || now.Sub(e.placed.renewed) < minDepositInterval {
 		return 0, false
 	}
-	e.given.follow(now, standby)
-	of, size := l.part(e.rate), l.deposit(e.rate)
-	e.bring(of, now)
-	room := max(0, size-e.given.held(now))
-	aside := min(room, e.aside)
-	e.aside -= aside
-	spare := max(0, min(room-aside, e.level-max(1, of.burst/2)))
+	e.placed.setStandby(now, standby)
+	size, target := l.ledgerSize(e.rate), l.depositSize(e.rate)
+	e.refill(size, now)
+	free := max(0, target-e.placed.outstanding(now))
+	fromReserve := min(free, e.depositReserve)
+	e.depositReserve -= fromReserve
+	spare := max(0, min(free-fromReserve, e.level-max(1, size.burst/2)))
 	e.level -= spare
-	tokens = aside + spare
-	e.given.tokens += tokens
-	e.given.renewed = now
-	return tokens, size > 0
+	tokens = fromReserve + spare
+	e.placed.tokens += tokens
+	e.placed.renewed = now
+	return tokens, target > 0
 }
 
-// Deposited notes what the standby holds by its answer.
+// Deposited records the size of the deposit that the standby reports in its response.
 func (l *Ledger) Deposited(organisation string, standby model.NodeID, held float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e := l.entries[organisation]; e != nil && e.given.standby == standby {
-		e.given.tokens = max(0, held)
+	if e := l.entries[organisation]; e != nil && e.placed.standby == standby {
+		e.placed.tokens = max(0, held)
 	}
 }
 
-// Depositary returns the node that may hold tokens of the ledger; empty without one.
+// Depositary returns the node that may hold a deposit of the ledger; empty if there is none.
 func (l *Ledger) Depositary(now time.Time, organisation string) model.NodeID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e := l.entries[organisation]; e != nil && e.given.held(now) > 0 {
-		return e.given.standby
+	if e := l.entries[organisation]; e != nil && e.placed.outstanding(now) > 0 {
+		return e.placed.standby
 	}
 	return ""
 }
 
-// TakeBack adds tokens that the standby has given back to their owner.
+// TakeBack adds deposited tokens that the standby has returned to the owner's ledger.
 func (l *Ledger) TakeBack(now time.Time, organisation string, rate model.Rate, tokens float64) {
 	if !(tokens > 0) || math.IsInf(tokens, 0) {
 		return
@@ -136,12 +141,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(now, organisation, rate)
-	tokens = min(tokens, e.given.held(now))
-	e.given.tokens -= tokens
+	tokens = min(tokens, e.placed.outstanding(now))
+	e.placed.tokens -= tokens
 	e.level += tokens
 }
 
-// Keep adds an owner's deposit at its standby and returns what that holds now.
+// Keep adds tokens to the deposit that this node, as the standby, holds for an owner. It returns
+// the size of the deposit.
 func (l *Ledger) Keep(now time.Time, organisation string, rate model.Rate, tokens float64) (held float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -149,65 +155,66 @@
 	if e.owned {
 		return 0
 	}
-	e.kept.valid(now)
-	e.acts, e.sole = false, false
-	e.kept.tokens = min(e.kept.tokens+max(0, tokens), l.deposit(rate))
-	e.kept.renewed = now
-	return e.kept.tokens
+	e.held.valid(now)
+	e.issuing, e.ownerEnded = false, false
+	e.held.tokens = min(e.held.tokens+max(0, tokens), l.depositSize(rate))
+	e.held.renewed = now
+	return e.held.tokens
 }
 
-// TakeKept takes a token for each of some requests from what a standby holds for an owner, and
-// reports whether it had as many.
+// TakeKept takes need tokens, one for each request, from the deposit that this node holds as the
+// standby. It takes none and returns false if the deposit holds fewer.
 func (l *Ledger) TakeKept(now time.Time, organisation string, need int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[organisation]
-	if e == nil || !e.kept.valid(now) || e.kept.tokens < float64(need) {
+	if e == nil || !e.held.valid(now) || e.held.tokens < float64(need) {
 		return false
 	}
-	e.kept.tokens -= float64(need)
+	e.held.tokens -= float64(need)
 	return true
 }
 
-// LendKept gives tokens of a standby to its owner, or to another zone that can't reach that: what
-// it holds, and like an owner if it issues.
+// LendKept returns up to want tokens of the standby to the owner, or to another zone that can't
+// reach the owner. They come from the deposit and, if the standby issues tokens itself, from its
+// entry as an owner would lend them.
 func (l *Ledger) LendKept(now time.Time, organisation string, want float64) (tokens float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[organisation]
-	if e == nil || !e.kept.valid(now) {
+	if e == nil || !e.held.valid(now) {
 		return 0
 	}
-	tokens = max(0, min(want, e.kept.tokens))
-	e.kept.tokens -= tokens
-	if e.acts {
+	tokens = max(0, min(want, e.held.tokens))
+	e.held.tokens -= tokens
+	if e.issuing {
 		tokens += l.entry(now, organisation, e.rate).lend(now, want-tokens)
 	}
 	return tokens
 }
 
-// act makes what a standby holds for the owner tokens of the entry, once it issues itself: it
-// begins with these.
-func (e *entry) act(now time.Time) {
-	if !e.kept.valid(now) {
+// startIssuing makes the standby issue tokens itself. The entry starts with the tokens of the
+// deposit.
+func (e *entry) startIssuing(now time.Time) {
+	if !e.held.valid(now) {
 		return
 	}
-	e.acts = true
-	e.level += e.kept.tokens
-	e.kept.tokens = 0
+	e.issuing = true
+	e.level += e.held.tokens
+	e.held.tokens = 0
 }
 
-// issueDoubled issues a standby's tokens of the time since the last ones, while the owner may issue
-// the same.
-func (l *Ledger) issueDoubled(e *entry, now time.Time) {
-	of := l.part(e.rate)
-	of.perSecond *= reducedPart
+// issueAsStandby issues a standby's tokens for the time since the last call while the owner may
+// issue the same ones: at a reduced rate and within duplicateLimit.
+func (l *Ledger) issueAsStandby(e *entry, now time.Time) {
+	size := l.ledgerSize(e.rate)
+	size.perSecond *= reducedRateFraction
 	before := e.level
-	e.bring(of, now)
+	e.refill(size, now)
 	if issued := e.level - before; issued > 0 {
-		left := l.share*l.cfg.doubled(e.rate) - e.doubled.sum(now, l.cfg.Window)
-		issued = min(issued, max(0, left))
+		remaining := l.liveFraction*l.cfg.duplicateLimit(e.rate) - e.duplicates.sum(now, l.cfg.Window)
+		issued = min(issued, max(0, remaining))
 		e.level = before + issued
-		e.doubled.add(now, l.cfg.Window, issued)
+		e.duplicates.add(now, l.cfg.Window, issued)
 	}
 }
--- a/coordination/quota/lease.go
+++ b/coordination/quota/lease.go
@@ -8,25 +8,26 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Lease is what one node holds of one organisation's tokens. It is safe for concurrent
-// use; Take is without a lock where there is a token.
+// Lease holds the tokens of one organisation that one node was granted in advance. It is safe
+// for concurrent use; Take acquires no lock.
 type Lease struct {
 	rate atomic.Pointer[model.Rate]
-	// held is the number of tokens, good until the moment ends, in Unix nanoseconds.
-	held, ends atomic.Int64
-	// refuseUntil is until when requests are refused without asking.
+	// held is the number of tokens, valid until expiry, which is in Unix nanoseconds.
+	held, expiry atomic.Int64
+	// refuseUntil is the time in Unix nanoseconds until which the node refuses requests itself,
+	// without a request to the ledger.
 	refuseUntil atomic.Int64
 
-	mu      sync.Mutex
-	use     use
-	next    time.Time // when the next refused request should come back
-	spacing time.Duration
-	// refusedAt is when a ledger last had too few tokens.
-	refusedAt time.Time
-	refused   int // since the last question
-	slots     int // asked for with it
-	evenShare evenShare
-	reached   time.Time // when an owner last answered
+	mu        sync.Mutex
+	demand    rateEstimate
+	nextRetry time.Time // when the next refused request should be retried
+	spacing   time.Duration
+	// refusedAt is when a ledger last granted too few tokens.
+	refusedAt      time.Time
+	refusedLocally int // requests that the node refused itself since the last request to the ledger
+	requestedSlots int // retry slots requested from the ledger with the last request
+	evenShare      evenShare
+	ownerReached   time.Time // when an owner last responded
 }
 
 // NewLease returns an empty lease.
@@ -36,7 +37,8 @@
 	return l
 }
 
-// Follow takes over an organisation's quota: what was held by another one is gone.
+// Follow sets the organisation's quota. If it differs from the previous one, the held tokens and
+// the current refusal are dropped.
 func (l *Lease) Follow(rate model.Rate) {
 	old := l.rate.Load()
 	if *old == rate || !l.rate.CompareAndSwap(old, &rate) {
@@ -46,14 +48,14 @@
 	l.refuseUntil.Store(0)
 }
 
-// Take takes a token that the node holds.
+// Take takes one of the held tokens and reports whether there was one.
 func (l *Lease) Take(now time.Time) bool {
-	for now.UnixNano() < l.ends.Load() {
+	for now.UnixNano() < l.expiry.Load() {
 		held := l.held.Load()
 		if held <= 0 {
 			return false
 		}
-		// Never below 0, not even for a moment: others may empty the lease meanwhile.
+		// held must not drop below 0, not even briefly: Request may take all of it concurrently.
 		if l.held.CompareAndSwap(held, held-1) {
 			return true
 		}
@@ -61,107 +63,111 @@
 	return false
 }
 
-// Put adds tokens for reserveTime.
+// Put adds tokens, which are valid for reserveLifetime. It drops expired tokens and renews the
+// others.
 func (l *Lease) Put(now time.Time, tokens int) {
 	if tokens <= 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.UnixNano() >= l.ends.Load() {
+	if now.UnixNano() >= l.expiry.Load() {
 		l.held.Store(0)
 	}
-	l.ends.Store(now.Add(reserveTime).UnixNano())
+	l.expiry.Store(now.Add(reserveLifetime).UnixNano())
 	l.held.Add(int64(tokens))
 }
 
-// refusalTime bounds for how long a node refuses by an answer without asking again.
-const refusalTime = 100 * time.Millisecond
+// localRefusalTime limits the time for which a node refuses requests without a new request to the
+// ledger.
+const localRefusalTime = 100 * time.Millisecond
 
-// Reached notes that an owner has answered.
+// Reached records that an owner has responded.
 func (l *Lease) Reached(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reached = now
+	l.ownerReached = now
 }
 
-// Refuse notes the answer of a ledger that has no token. It returns when the requests that
-// got none should come back, one after the other.
-func (l *Lease) Refuse(now time.Time, g Grant, short int) []time.Duration {
+// Refuse records a grant with too few tokens. It returns the Retry-After delays of the unserved
+// requests, spaced one after the other.
+func (l *Lease) Refuse(now time.Time, g Grant, unserved int) []time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refusedAt = now
-	after := make([]time.Duration, short)
-	for i := range after {
-		after[i] = min(g.After+time.Duration(i)*g.Spacing, promiseMax)
+	retryAfter := make([]time.Duration, unserved)
+	for i := range retryAfter {
+		retryAfter[i] = min(g.After+time.Duration(i)*g.Spacing, slotHorizon)
 	}
-	l.next, l.spacing = now.Add(g.After+time.Duration(short)*g.Spacing), g.Spacing
-	l.refuseUntil.Store(now.Add(min(g.After, refusalTime)).UnixNano())
-	return after
+	l.nextRetry, l.spacing = now.Add(g.After+time.Duration(unserved)*g.Spacing), g.Spacing
+	l.refuseUntil.Store(now.Add(min(g.After, localRefusalTime)).UnixNano())
+	return retryAfter
 }
 
-// Refused reports whether a request is refused without asking, and when it should come back.
-// Only as many are as the ledger was asked slots for, or where these lie farther ahead than
-// callers wait.
-func (l *Lease) Refused(now time.Time) (after time.Duration, refused bool) {
+// Refused reports whether the node refuses a request without a request to the ledger, and returns
+// its Retry-After delay. It refuses as many requests as it requested retry slots for, and further
+// ones only if their delay reaches slotOrderHorizon, which is longer than callers wait.
+func (l *Lease) Refused(now time.Time) (retryAfter time.Duration, refused bool) {
 	if now.UnixNano() >= l.refuseUntil.Load() {
 		return 0, false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	after = l.next.Sub(now)
-	if l.refused >= l.slots && after < farAhead {
+	retryAfter = l.nextRetry.Sub(now)
+	if l.refusedLocally >= l.requestedSlots && retryAfter < slotOrderHorizon {
 		return 0, false
 	}
-	l.use.add(now, 1)
-	l.refused++
-	l.next = l.next.Add(l.spacing)
-	return min(max(after, time.Millisecond), promiseMax), true
+	l.demand.add(now, 1)
+	l.refusedLocally++
+	l.nextRetry = l.nextRetry.Add(l.spacing)
+	return min(max(retryAfter, time.Millisecond), slotHorizon), true
 }
 
-// scarceTime is for how long after a refusal tokens are held to be scarce.
-const scarceTime = 300 * time.Millisecond
+// scarcityTime is how long after a refusal by a ledger tokens count as scarce.
+const scarcityTime = 300 * time.Millisecond
 
-// Scarce reports whether there were too few tokens a moment ago, and when to come back: what
-// there is then goes to requests that can still be in time.
-func (l *Lease) Scarce(now time.Time) (after time.Duration, scarce bool) {
+// Scarce reports whether a ledger had too few tokens within scarcityTime, and returns the
+// Retry-After delay of a request that is refused for this reason: scarce tokens are kept for
+// requests that can still be served in time.
+func (l *Lease) Scarce(now time.Time) (retryAfter time.Duration, scarce bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.refusedAt) >= scarceTime {
+	if now.Sub(l.refusedAt) >= scarcityTime {
 		return 0, false
 	}
-	return min(max(l.next.Sub(now), scarceTime), promiseMax), true
+	return min(max(l.nextRetry.Sub(now), scarcityTime), slotHorizon), true
 }
 
-// farAhead is how far ahead it no longer matters which request gets which slot.
-const farAhead = 5 * time.Second
+// slotOrderHorizon is the Retry-After delay from which the order of retry slots no longer matters.
+const slotOrderHorizon = 5 * time.Second
 
-// maxSlots bounds for how many requests a node asks when they should come back.
+// maxSlots limits the number of retry slots that a node requests.
 const maxSlots = 1 << 10
 
-// reserveUse is for how much of an organisation's use a node would like to hold tokens.
-const reserveUse = 100 * time.Millisecond
+// reserveHorizon is the period for whose expected demand a node requests tokens in advance.
+const reserveHorizon = 100 * time.Millisecond
 
-// Request returns what to ask for requests that wait.
+// Request returns the request to the ledger for need waiting requests. It includes the expired
+// tokens, which the lease returns, and resets the count of local refusals.
 func (l *Lease) Request(now time.Time, organisation string, need int) Request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.use.add(now, float64(need))
+	l.demand.add(now, float64(need))
 	switch {
-	case l.refused >= l.slots && l.refused > 0:
-		l.slots = min(2*l.refused, maxSlots)
-	case l.refused > 0:
-		l.slots = l.refused
+	case l.refusedLocally >= l.requestedSlots && l.refusedLocally > 0:
+		l.requestedSlots = min(2*l.refusedLocally, maxSlots)
+	case l.refusedLocally > 0:
+		l.requestedSlots = l.refusedLocally
 	default:
-		l.slots = 1
+		l.requestedSlots = 1
 	}
 	r := Request{
-		Organisation: organisation, Rate: *l.rate.Load(), Need: need, Refused: l.refused, Slots: l.slots,
-		Reserve: int(l.use.perSecond(now) * reserveUse.Seconds()),
+		Organisation: organisation, Rate: *l.rate.Load(), Need: need, Refused: l.refusedLocally, Slots: l.requestedSlots,
+		Reserve: int(l.demand.perSecond(now) * reserveHorizon.Seconds()),
 	}
-	if now.UnixNano() >= l.ends.Load() {
+	if now.UnixNano() >= l.expiry.Load() {
 		r.Return = float64(max(0, l.held.Swap(0)))
 	}
-	l.refused = 0
+	l.refusedLocally = 0
 	return r
 }
--- a/coordination/quota/ledger.go
+++ b/coordination/quota/ledger.go
@@ -7,258 +7,261 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Ledger holds the tokens of the organisations that a node owns or is asked for as the standby.
+// Ledger holds the tokens of the organisations that this node owns or serves as the standby.
 // It is safe for concurrent use.
 type Ledger struct {
 	cfg Config
 
 	mu      sync.Mutex
 	entries map[string]*entry
-	// share is the part of the zone's members that this node sees.
-	share float64
+	// liveFraction is the fraction of the zone's members that this node sees live.
+	liveFraction float64
 }
 
-// entry is the part of a ledger for one organisation.
+// entry is a ledger's state for one organisation.
 type entry struct {
-	rate  model.Rate
-	level float64   // tokens that were issued and not given out
-	at    time.Time // when level was last brought up to date
-	// owned says that the node comes first for the organisation; else it is the standby.
-	owned bool
-	asked time.Time // when a node or another zone's owner last asked
-	// next is when the first token comes that nobody was promised.
-	next time.Time
-	// use estimates how many tokens are asked for a second.
-	use use
-	// reserved is what nodes hold in reserve.
-	reserved recent
-	// aside is what an owner has issued for its standby only.
-	aside float64
-	// given is what an owner's standby holds, and kept what a standby holds for the owner.
-	given given
-	kept  kept
-	// acts says that the standby issues, since it was last told of the owner.
-	acts bool
-	// sole says that the standby knows the owner to have ended.
-	sole bool
-	// doubled is what the standby has issued in a window and the owner may have issued too.
-	doubled recent
+	rate    model.Rate
+	level   float64   // tokens issued and not yet given out
+	updated time.Time // when level was last refilled
+	// owned is set if the node ranks first for the organisation; otherwise it is the standby.
+	owned       bool
+	lastRequest time.Time // last request from a node or from another zone's owner
+	// nextSlot is the first retry slot, the time of a future token, that isn't assigned yet.
+	nextSlot time.Time
+	// demand estimates the requested tokens per second.
+	demand rateEstimate
+	// reserved counts the tokens that nodes hold in advance.
+	reserved windowSum
+	// depositReserve is the number of tokens that an owner has issued only for the deposit.
+	depositReserve float64
+	// placed is an owner's record of its deposit, and held the deposit that a standby holds.
+	placed placedDeposit
+	held   heldDeposit
+	// issuing is set while a standby issues tokens itself; a deposit message clears it.
+	issuing bool
+	// ownerEnded is set if the standby has established that the owner's process has ended.
+	ownerEnded bool
+	// duplicates counts the tokens issued by the standby that the owner may have issued too.
+	duplicates windowSum
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger(cfg Config) *Ledger {
-	return &Ledger{cfg: cfg, entries: make(map[string]*entry), share: 1}
+	return &Ledger{cfg: cfg, entries: make(map[string]*entry), liveFraction: 1}
 }
 
-// standbyTime is how long a standby that nobody asks goes on issuing: it must not save up
-// what the owner issues too.
-const standbyTime = time.Second
+// standbyIdleTime is how long a standby without requests keeps issuing tokens: it must not
+// accumulate tokens that the owner issues too.
+const standbyIdleTime = time.Second
 
-// Own tells the quotas of all organisations, which of these the node owns, and which part of the
-// zone's members it sees: it issues no more than that part. It returns the tokens of those that
-// it no longer owns: they go to the new owners.
-func (l *Ledger) Own(now time.Time, share float64, quotas map[string]model.Rate, owned map[string]struct{}) map[string]float64 {
+// Own sets the quotas of all organisations, the organisations whose ledgers this node owns, and the
+// fraction of the zone's members that it sees live, which limits the tokens that it issues. It
+// returns the tokens of the organisations that it no longer owns, for transfer to the new owners.
+func (l *Ledger) Own(now time.Time, liveFraction float64, quotas map[string]model.Rate, owned map[string]struct{}) map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.share = share
-	var left map[string]float64
+	l.liveFraction = liveFraction
+	var handover map[string]float64
 	for name, e := range l.entries {
 		rate, limited := quotas[name]
-		_, still := owned[name]
+		_, stillOwned := owned[name]
 		switch {
 		case !limited:
 			delete(l.entries, name)
-		case e.owned && !still:
-			e.bring(l.part(e.rate), now)
-			if left == nil {
-				left = make(map[string]float64)
+		case e.owned && !stillOwned:
+			e.refill(l.ledgerSize(e.rate), now)
+			if handover == nil {
+				handover = make(map[string]float64)
 			}
-			left[name] = e.level
+			handover[name] = e.level
 			delete(l.entries, name)
 		case e.rate != rate:
 			l.entry(now, name, rate)
 		}
 	}
 	for name, rate := range quotas {
-		if _, own := owned[name]; own {
+		if _, isOwned := owned[name]; isOwned {
 			e := l.entry(now, name, rate)
 			if !e.owned {
-				e.act(now)
+				e.startIssuing(now)
 			}
 			e.owned = true
 		}
 	}
-	return left
+	return handover
 }
 
-// entry returns an organisation's entry, up to date. A new one begins with little, since
-// what was let in before still counts.
+// entry returns an organisation's entry, refilled to now. A new entry starts with few tokens, since
+// requests that were admitted before it existed still count.
 func (l *Ledger) entry(now time.Time, name string, rate model.Rate) *entry {
 	e := l.entries[name]
 	if e == nil {
-		e = &entry{rate: rate, level: l.start(rate), at: now, asked: now}
+		e = &entry{rate: rate, level: l.initialLevel(rate), updated: now, lastRequest: now}
 		l.entries[name] = e
 	}
 	if e.rate != rate {
-		e.rate, e.next = rate, time.Time{}
-		e.level = min(e.level, l.part(rate).burst)
-		e.kept.tokens = min(e.kept.tokens, l.deposit(rate))
+		e.rate, e.nextSlot = rate, time.Time{}
+		e.level = min(e.level, l.ledgerSize(rate).burst)
+		e.held.tokens = min(e.held.tokens, l.depositSize(rate))
 	}
 	switch {
-	case e.owned || e.sole:
-		e.bring(l.part(e.rate), now)
-	case !e.acts && e.kept.valid(now):
-		e.level, e.at = 0, now // the owner has issued all until now
+	case e.owned || e.ownerEnded:
+		e.refill(l.ledgerSize(e.rate), now)
+	case !e.issuing && e.held.valid(now):
+		e.level, e.updated = 0, now // the owner has issued all tokens up to now
 	default:
-		l.issueDoubled(e, now)
+		l.issueAsStandby(e, now)
 	}
-	if !e.owned && now.Sub(e.asked) > standbyTime {
-		e.level = min(e.level, l.start(rate))
+	if !e.owned && now.Sub(e.lastRequest) > standbyIdleTime {
+		e.level = min(e.level, l.initialLevel(rate))
 	}
 	return e
 }
 
-// start returns what a new entry holds: the part of the zone that the node sees, but one
-// token where the zone's start has it. Less would refuse the first request on the small side
-// of a cut, however little is asked there.
-func (l *Ledger) start(rate model.Rate) float64 {
-	whole := l.cfg.start(rate)
-	return max(l.share*whole, min(1, whole))
+// initialLevel returns the tokens of a new entry: the zone's initial tokens times the fraction of
+// live members, but one whole token if the zone's are at least one. With less, the smaller side of
+// a network partition would refuse even the first request, however low its load.
+func (l *Ledger) initialLevel(rate model.Rate) float64 {
+	zoneTokens := l.cfg.initialTokens(rate)
+	return max(l.liveFraction*zoneTokens, min(1, zoneTokens))
 }
 
-// part returns the size of an entry.
-func (l *Ledger) part(rate model.Rate) size {
-	of := l.cfg.part(rate)
-	return size{perSecond: of.perSecond * l.share, burst: max(1, of.burst*l.share), beside: l.share * l.cfg.deposit(rate)}
+// ledgerSize returns the size of an entry: the zone's size times the fraction of live members.
+func (l *Ledger) ledgerSize(rate model.Rate) ledgerSize {
+	zone := l.cfg.ledgerSize(rate)
+	return ledgerSize{perSecond: zone.perSecond * l.liveFraction, burst: max(1, zone.burst*l.liveFraction), extraDeposit: l.liveFraction * l.cfg.extraDeposit(rate)}
 }
 
-// room returns how many tokens an entry may hold beside what was given out in advance. A deposit
-// counts as far as it is more than what may be held beside the ledger.
-func (e *entry) room(of size, now time.Time) float64 {
-	return of.burst - e.reserved.sum(now, reserveTime) - max(0, e.given.sum(now)-of.beside)
+// capacity returns the maximum level of an entry: its burst less the tokens that nodes hold in
+// advance, and less the part of the deposit that exceeds size.extraDeposit.
+func (e *entry) capacity(size ledgerSize, now time.Time) float64 {
+	return size.burst - e.reserved.sum(now, reserveLifetime) - max(0, e.placed.totalOutstanding(now)-size.extraDeposit)
 }
 
-// bring issues the tokens of the time since it was last called.
-func (e *entry) bring(of size, now time.Time) {
-	room := e.room(of, now)
-	passed := now.Sub(e.at)
-	if passed <= 0 {
+// refill issues the tokens for the time since the last call. An owner's tokens beyond the entry's
+// capacity go to depositReserve, up to size.extraDeposit.
+func (e *entry) refill(size ledgerSize, now time.Time) {
+	capacity := e.capacity(size, now)
+	elapsed := now.Sub(e.updated)
+	if elapsed <= 0 {
 		return
 	}
-	e.at = now
-	if passed > borrowTime {
-		e.level = min(e.level, room)
+	e.updated = now
+	if elapsed > borrowedLifetime {
+		e.level = min(e.level, capacity)
 	}
-	all := e.level + of.perSecond*passed.Seconds()
-	e.level = max(e.level, min(room, all))
+	uncapped := e.level + size.perSecond*elapsed.Seconds()
+	e.level = max(e.level, min(capacity, uncapped))
 	if e.owned {
-		e.aside = max(0, min(of.beside-e.given.sum(now), e.aside+all-e.level))
+		e.depositReserve = max(0, min(size.extraDeposit-e.placed.totalOutstanding(now), e.depositReserve+uncapped-e.level))
 	}
 }
 
-// borrowTime is for how long tokens of other zones may lie beyond what a ledger holds of its
-// own: they are asked for when they are needed.
-const borrowTime = 50 * time.Millisecond
+// borrowedLifetime is how long borrowed tokens may raise an entry above its own capacity: they are
+// borrowed only when they are needed.
+const borrowedLifetime = 50 * time.Millisecond
 
-// Request asks for tokens of an organisation.
+// Request is a node's request for tokens of an organisation.
 type Request struct {
-	// Organisation is its name and Rate its quota.
+	// Organisation is the organisation's name and Rate its quota.
 	Organisation string
 	Rate         model.Rate
-	// Need is the number of requests that wait, and Reserve how many more tokens the
-	// asker would like.
+	// Need is the number of waiting requests, and Reserve the number of additional tokens that
+	// the node would like to hold in advance.
 	Need, Reserve int
-	// Refused is the number of requests that the asker has told to come back without
-	// asking, and Slots for how many more it would like to know when to come back.
+	// Refused is the number of requests that the node has refused without a request to the ledger,
+	// and Slots the number of further retry slots that it would like to assign.
 	Refused, Slots int
-	// Return is what the asker gives back.
+	// Return is the number of tokens that the node returns.
 	Return float64
-	// Ended says that the owner has ended, to a standby that is asked.
+	// Ended is set in a request to a standby if the owner's process has ended.
 	Ended bool
 }
 
-// Grant answers a Request.
+// Grant is the response to a Request.
 type Grant struct {
-	// Tokens is what the asker gets.
+	// Tokens is the number of tokens granted.
 	Tokens int
-	// After is when the first token comes for what the asker didn't get, and Spacing the
-	// time between two: one for each request that waits and each slot.
+	// After is the delay until the first retry slot if too few tokens were granted, and Spacing
+	// the time between slots: there is one for each unserved request and each requested slot.
 	After, Spacing time.Duration
 }
 
-// Preview returns how many tokens are missing for a request, and counts it as use.
-func (l *Ledger) Preview(now time.Time, r Request) (lack float64) {
+// Preview returns how many tokens the entry lacks for a request, which it counts as demand.
+func (l *Ledger) Preview(now time.Time, r Request) (shortfall float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(now, r.Organisation, r.Rate)
-	e.asked = now
-	e.sole = r.Ended
-	e.act(now)
-	e.takeBack(l.part(e.rate), now, r.Return)
-	e.use.add(now, float64(r.Need+r.Refused))
+	e.lastRequest = now
+	e.ownerEnded = r.Ended
+	e.startIssuing(now)
+	e.addReturned(l.ledgerSize(e.rate), now, r.Return)
+	e.demand.add(now, float64(r.Need+r.Refused))
 	return max(0, float64(r.Need)-e.level)
 }
 
-// Ask gives tokens out. Those that get none are told when to come back, one after the other.
+// Ask grants tokens. It assigns consecutive retry slots to the requests that get none.
 func (l *Ledger) Ask(now time.Time, r Request) Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(now, r.Organisation, r.Rate)
-	e.asked = now
-	whole := min(r.Need, int(e.level))
-	e.level -= float64(whole)
-	g := Grant{Tokens: whole}
-	if whole < r.Need {
-		g.After, g.Spacing = e.promise(l.part(e.rate), now, r.Need-whole+r.Slots)
+	e.lastRequest = now
+	granted := min(r.Need, int(e.level))
+	e.level -= float64(granted)
+	g := Grant{Tokens: granted}
+	if granted < r.Need {
+		g.After, g.Spacing = e.assignSlots(l.ledgerSize(e.rate), now, r.Need-granted+r.Slots)
 		return g
 	}
-	if e.level >= l.part(e.rate).burst*plenty {
-		e.next = now // who was promised more has not come back
+	if e.level >= l.ledgerSize(e.rate).burst*plentyFraction {
+		e.nextSlot = now // callers with a slot have not retried
 	}
-	// Half of what there is stays for others, and half of what there may be is no reserve.
-	room := l.part(e.rate).burst/2 - e.reserved.sum(now, reserveTime)
-	if extra := min(r.Reserve, int(min(room, e.level/2))); extra > 0 {
+	// Tokens in advance take at most half of the level, so that the rest stays for other nodes,
+	// and all nodes together hold at most half of the burst in advance.
+	free := l.ledgerSize(e.rate).burst/2 - e.reserved.sum(now, reserveLifetime)
+	if extra := min(r.Reserve, int(min(free, e.level/2))); extra > 0 {
 		e.level -= float64(extra)
-		e.reserved.add(now, reserveTime, float64(extra))
+		e.reserved.add(now, reserveLifetime, float64(extra))
 		g.Tokens += extra
 	}
 	return g
 }
 
-// plenty is the part of what a ledger may hold from which on nothing is promised any more.
-const plenty = 0.25
+// plentyFraction is the fraction of a ledger's burst from which on it discards the assigned retry
+// slots.
+const plentyFraction = 0.25
 
-// promiseMax bounds how far ahead tokens are promised.
-const promiseMax = 30 * time.Second
+// slotHorizon limits how far ahead retry slots are assigned.
+const slotHorizon = 30 * time.Second
 
-// promise returns when the next token comes that nobody was promised, and takes it and those
-// that follow.
-func (e *entry) promise(of size, now time.Time, slots int) (after, spacing time.Duration) {
-	each := min(float64(time.Second)/of.perSecond, float64(promiseMax))
-	first := now.Add(time.Duration(max(0, 1-e.level) * each))
-	if e.next.Before(first) {
-		e.next = first
+// assignSlots assigns the next retry slots. It returns the delay until the first one and the time
+// between slots.
+func (e *entry) assignSlots(size ledgerSize, now time.Time, slots int) (after, spacing time.Duration) {
+	interval := min(float64(time.Second)/size.perSecond, float64(slotHorizon))
+	earliest := now.Add(time.Duration(max(0, 1-e.level) * interval))
+	if e.nextSlot.Before(earliest) {
+		e.nextSlot = earliest
 	}
-	after = e.next.Sub(now)
-	if end := now.Add(promiseMax); e.next.Before(end) {
-		e.next = e.next.Add(time.Duration(min(float64(slots)*each, float64(promiseMax))))
+	after = e.nextSlot.Sub(now)
+	if horizon := now.Add(slotHorizon); e.nextSlot.Before(horizon) {
+		e.nextSlot = e.nextSlot.Add(time.Duration(min(float64(slots)*interval, float64(slotHorizon))))
 	}
-	return min(after, promiseMax), time.Duration(each)
+	return min(after, slotHorizon), time.Duration(interval)
 }
 
-// takeBack adds tokens that a node gives back. They may have been issued again since they were
-// given, so they add nothing to a full entry.
-func (e *entry) takeBack(of size, now time.Time, tokens float64) {
-	room := e.room(of, now)
-	e.level = max(e.level, min(room, e.level+max(0, tokens)))
+// addReturned adds tokens that a node returns. They may have been issued again in the meantime, so
+// they don't raise the level above the entry's capacity.
+func (e *entry) addReturned(size ledgerSize, now time.Time, tokens float64) {
+	capacity := e.capacity(size, now)
+	e.level = max(e.level, min(capacity, e.level+max(0, tokens)))
 }
 
-// Use returns the requests a second that the node's zone asked for lately.
+// Use returns the recent demand of the node's own zone in requests per second.
 func (l *Ledger) Use(now time.Time, organisation string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.entries[organisation]; e != nil {
-		return e.use.perSecond(now)
+		return e.demand.perSecond(now)
 	}
 	return 0
 }
--- a/coordination/quota/loan.go
+++ b/coordination/quota/loan.go
@@ -7,27 +7,28 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// lendKeep is for how long a ledger keeps what its own zone asks for before it lends.
-const lendKeep = 200 * time.Millisecond
+// lenderReserveTime is the period for whose expected demand in its own zone a ledger keeps tokens
+// when it lends.
+const lenderReserveTime = 200 * time.Millisecond
 
-// Lend gives tokens to the owner of another zone: up to half of what the own zone doesn't
-// need at once.
+// Lend takes up to want tokens for the owner of another zone and returns their number: at most half
+// of what its own zone doesn't need immediately.
 func (l *Ledger) Lend(now time.Time, organisation string, rate model.Rate, want float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(now, organisation, rate)
-	e.asked = now
+	e.lastRequest = now
 	return e.lend(now, want)
 }
 
 func (e *entry) lend(now time.Time, want float64) float64 {
-	spare := e.level - e.use.perSecond(now)*lendKeep.Seconds()
+	spare := e.level - e.demand.perSecond(now)*lenderReserveTime.Seconds()
 	lent := max(0, min(want, spare/2))
 	e.level -= lent
 	return lent
 }
 
-// Receive adds tokens that another owner has given.
+// Receive adds tokens that another owner has transferred or lent.
 func (l *Ledger) Receive(now time.Time, organisation string, rate model.Rate, tokens float64) {
 	if !(tokens > 0) || math.IsInf(tokens, 0) {
 		return
@@ -38,8 +39,8 @@
 	e.add(l.cfg, tokens)
 }
 
-// add adds tokens that were issued elsewhere. Several zones' may come together for one that
-// has a burst, so the bound is that of the whole quota; see borrowTime.
+// add adds tokens that were issued elsewhere. A zone with a burst of requests may receive tokens of
+// several others, so the limit is the capacity of the whole fleet; see borrowedLifetime.
 func (e *entry) add(cfg Config, tokens float64) {
-	e.level = min(e.level+max(0, tokens), max(1, cfg.hold(e.rate)))
+	e.level = min(e.level+max(0, tokens), max(1, cfg.fleetCapacity(e.rate)))
 }
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -19,41 +19,42 @@
 	rate  = model.Rate{PerSecond: 30, Burst: 60}
 )
 
-// everything is what a node owns that comes first for all organisations.
-var everything = map[string]struct{}{"o": {}}
+// ownsAll is the set of owned organisations of a node that ranks first for all of them.
+var ownsAll = map[string]struct{}{"o": {}}
 
-func owned(now time.Time) *Ledger {
+func newOwner(now time.Time) *Ledger {
 	l := NewLedger(cfg)
-	l.Own(now, 1, map[string]model.Rate{"o": rate}, everything)
+	l.Own(now, 1, map[string]model.Rate{"o": rate}, ownsAll)
 	return l
 }
 
-func ask(need int) Request { return Request{Organisation: "o", Rate: rate, Need: need} }
+func request(need int) Request { return Request{Organisation: "o", Rate: rate, Need: need} }
 
-// What was let in before a ledger was lost still counts: a new one begins with little.
-func TestNewLedgerBeginsWithLittle(t *testing.T) {
-	l := owned(begin)
-	must.LessEq(t, int(cfg.allowance(rate)*startPart), l.Ask(begin, ask(1000)).Tokens)
+// Requests that were admitted before a ledger was lost still count, so a new one starts with few
+// tokens.
+func TestNewLedgerStartsWithFewTokens(t *testing.T) {
+	l := newOwner(begin)
+	must.LessEq(t, int(cfg.allowance(rate)*initialFraction), l.Ask(begin, request(1000)).Tokens)
 }
 
-// Whatever is asked and given back, a zone lets in no more in a window than its part.
+// Whatever is requested, a zone grants no more than its part in any window.
 func TestLedgerKeepsTheBoundInAnyWindow(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
-	l := owned(begin)
-	type taken struct {
+	l := newOwner(begin)
+	type grant struct {
 		at time.Time
 		n  int
 	}
-	var all []taken
+	var all []grant
 	now := begin
 	for range 20_000 {
 		now = now.Add(time.Duration(r.ExpFloat64() * float64(5*time.Millisecond)))
-		q := ask(r.IntN(4))
+		q := request(r.IntN(4))
 		q.Reserve = r.IntN(8)
-		all = append(all, taken{now, l.Ask(now, q).Tokens})
+		all = append(all, grant{now, l.Ask(now, q).Tokens})
 	}
-	part := cfg.part(rate)
-	most := part.perSecond*cfg.Window.Seconds() + part.burst
+	zone := cfg.ledgerSize(rate)
+	limit := zone.perSecond*cfg.Window.Seconds() + zone.burst
 	first, sum := 0, 0
 	for _, x := range all {
 		sum += x.n
@@ -61,89 +62,89 @@
 			sum -= all[first].n
 			first++
 		}
-		must.LessEq(t, most+1, float64(sum))
+		must.LessEq(t, limit+1, float64(sum))
 	}
-	must.LessEq(t, cfg.allowance(rate)+float64(rate.Burst)+rate.PerSecond*cfg.Window.Seconds(), 3*most)
+	must.LessEq(t, cfg.allowance(rate)+float64(rate.Burst)+rate.PerSecond*cfg.Window.Seconds(), 3*limit)
 }
 
-func TestLoweredQuotaBindsAtOnce(t *testing.T) {
-	l := owned(begin)
+func TestLoweredQuotaAppliesAtOnce(t *testing.T) {
+	l := newOwner(begin)
 	now := begin.Add(time.Minute)
 	low := model.Rate{PerSecond: 3, Burst: 3}
-	l.Own(now, 1, map[string]model.Rate{"o": low}, everything)
-	q := ask(1000)
+	l.Own(now, 1, map[string]model.Rate{"o": low}, ownsAll)
+	q := request(1000)
 	q.Rate = low
-	must.LessEq(t, int(cfg.part(low).burst), l.Ask(now, q).Tokens)
+	must.LessEq(t, int(cfg.ledgerSize(low).burst), l.Ask(now, q).Tokens)
 }
 
-func TestRemovedQuotaLeavesNothing(t *testing.T) {
-	l := owned(begin)
-	l.Own(begin, 1, nil, everything)
+func TestRemovedQuotaRemovesEntry(t *testing.T) {
+	l := newOwner(begin)
+	l.Own(begin, 1, nil, ownsAll)
 	must.MapEmpty(t, l.entries)
 }
 
-// A ledger that moves goes to its new owner whole, and isn't used twice.
-func TestLedgerMovesOnce(t *testing.T) {
-	l := owned(begin)
+// The tokens of a ledger move to its new owner completely, and can't be used a second time.
+func TestLedgerTokensMoveToNewOwnerOnce(t *testing.T) {
+	l := newOwner(begin)
 	now := begin.Add(time.Minute)
-	left := l.Own(now, 1, map[string]model.Rate{"o": rate}, nil)
-	must.Eq(t, map[string]float64{"o": cfg.part(rate).burst}, left)
-	other := owned(now)
-	other.Receive(now, "o", rate, left["o"])
-	must.Eq(t, int(cfg.part(rate).burst+cfg.start(rate)), other.Ask(now, ask(1000)).Tokens)
+	handover := l.Own(now, 1, map[string]model.Rate{"o": rate}, nil)
+	must.Eq(t, map[string]float64{"o": cfg.ledgerSize(rate).burst}, handover)
+	other := newOwner(now)
+	other.Receive(now, "o", rate, handover["o"])
+	must.Eq(t, int(cfg.ledgerSize(rate).burst+cfg.initialTokens(rate)), other.Ask(now, request(1000)).Tokens)
 	must.MapEmpty(t, l.entries)
 }
 
-// A standby of an owner doesn't save up what the owner issues too.
-func TestStandbySavesNothing(t *testing.T) {
+// A standby must not accumulate tokens that the owner issues too.
+func TestIdleStandbyAccumulatesNothing(t *testing.T) {
 	l := NewLedger(cfg)
-	l.Ask(begin, ask(1000))
+	l.Ask(begin, request(1000))
 	later := begin.Add(time.Minute)
-	must.LessEq(t, int(cfg.start(rate)), l.Ask(later, ask(1000)).Tokens)
+	must.LessEq(t, int(cfg.initialTokens(rate)), l.Ask(later, request(1000)).Tokens)
 }
 
 func TestLenderKeepsWhatItsZoneNeeds(t *testing.T) {
-	l := owned(begin)
+	l := newOwner(begin)
 	now := begin.Add(time.Minute)
-	full := cfg.part(rate).burst
+	full := cfg.ledgerSize(rate).burst
 	lent := l.Lend(now, "o", rate, 1000)
 	must.Eq(t, full/2, lent)
-	must.Eq(t, int(full-lent), l.Ask(now, ask(1000)).Tokens)
+	must.Eq(t, int(full-lent), l.Ask(now, request(1000)).Tokens)
 	must.Less(t, 1, l.Lend(now, "o", rate, 1000))
 }
 
-func TestTokensThatNoNodeSendsAreNotTaken(t *testing.T) {
-	l := owned(begin)
+func TestInvalidTokenAmountsAreIgnored(t *testing.T) {
+	l := newOwner(begin)
 	for _, tokens := range []float64{-5, 0, math.Inf(1)} {
 		l.Receive(begin, "o", rate, tokens)
 	}
-	must.Eq(t, int(cfg.start(rate)), l.Ask(begin, ask(1000)).Tokens)
+	must.Eq(t, int(cfg.initialTokens(rate)), l.Ask(begin, request(1000)).Tokens)
 }
 
-// Those that are refused come back one after the other.
-func TestPromisesFollowEachOther(t *testing.T) {
-	l := owned(begin)
-	l.Ask(begin, ask(1000))
-	l = owned(begin)
-	l.Ask(begin, ask(int(cfg.start(rate))))
-	first, second := l.Ask(begin, ask(1)), l.Ask(begin, ask(1))
+// Refused requests get consecutive retry slots.
+func TestRetrySlotsAreConsecutive(t *testing.T) {
+	l := newOwner(begin)
+	l.Ask(begin, request(1000))
+	l = newOwner(begin)
+	l.Ask(begin, request(int(cfg.initialTokens(rate))))
+	first, second := l.Ask(begin, request(1)), l.Ask(begin, request(1))
 	must.Positive(t, first.After)
 	must.Eq(t, first.After+first.Spacing, second.After)
 	must.Eq(t, 100*time.Millisecond, first.Spacing)
 }
 
-func TestLeaseForgetsOldTokensAndOldQuotas(t *testing.T) {
+func TestLeaseDropsExpiredTokensAndOldQuotas(t *testing.T) {
 	a := NewLease(rate)
 	a.Put(begin, 2)
 	must.True(t, a.Take(begin))
-	must.False(t, a.Take(begin.Add(reserveTime)))
-	must.Eq(t, 1, a.Request(begin.Add(reserveTime), "o", 1).Return)
+	must.False(t, a.Take(begin.Add(reserveLifetime)))
+	must.Eq(t, 1, a.Request(begin.Add(reserveLifetime), "o", 1).Return)
 	a.Put(begin, 2)
 	a.Follow(model.Rate{PerSecond: 3, Burst: 3})
 	must.False(t, a.Take(begin))
 }
 
-// Nodes that reach no owner let in most of what they would get of an even split.
+// Nodes that reach no owner together admit most of the reduced rate.
 func TestEvenSharesAdmitTheirSum(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	const nodes, seconds = 62, 20
@@ -156,7 +157,7 @@
 			}
 		}
 	}
-	must.Between(t, 0.9*reducedPart*seconds*rate.PerSecond, float64(admitted), reducedPart*seconds*rate.PerSecond+cfg.allowance(rate)*evenSharePart+nodes/4)
+	must.Between(t, 0.9*reducedRateFraction*seconds*rate.PerSecond, float64(admitted), reducedRateFraction*seconds*rate.PerSecond+cfg.allowance(rate)*evenShareFraction+nodes/4)
 }
 
 func table(live, failed int) *endpoint.Table {
@@ -171,9 +172,9 @@
 	return t
 }
 
-// A node that has just started believes itself alone: it owns no ledger before it has seen
-// its fleet.
-func TestStartedNodeOwnsNoLedgerBeforeItKnowsItsFleet(t *testing.T) {
+// A node that has just started sees no other member. It must not own ledgers before its view of
+// the fleet has settled.
+func TestStartedNodeOwnsNoLedgerBeforeMembersSettle(t *testing.T) {
 	r := NewTracker("n0", "z", begin)
 	must.False(t, r.Update(begin, table(1, 0)).MayOwn(begin.Add(time.Second)))
 	now := begin.Add(time.Second)
@@ -186,8 +187,8 @@
 	must.True(t, r.Update(now.Add(time.Second), table(21, 0)).MayOwn(now.Add(time.Second)))
 }
 
-// Two halves of a zone that don't see each other issue no more than the zone together. Members
-// that have been gone for long are no longer counted: the others bear their loss.
+// Two halves of a zone that are partitioned from each other together issue no more than the whole
+// zone. Members that failed long ago are no longer counted: the others issue their part.
 func TestNodeIssuesForTheMembersItSees(t *testing.T) {
 	r := NewTracker("n0", "z", begin)
 	r.Update(begin, table(5, 15))
@@ -197,17 +198,17 @@
 	must.Eq(t, 0.25, m.Share)
 	must.Eq(t, 20, m.Fleet)
 	must.True(t, r.Changing())
-	l := owned(begin)
-	l.Own(now, m.Share, map[string]model.Rate{"o": rate}, everything)
-	full := cfg.part(rate).burst
-	must.Eq(t, int(full/4), l.Ask(now.Add(time.Second), ask(1000)).Tokens)
-	must.Eq(t, 400*time.Millisecond, l.Ask(now.Add(time.Second), ask(1)).Spacing)
+	l := newOwner(begin)
+	l.Own(now, m.Share, map[string]model.Rate{"o": rate}, ownsAll)
+	full := cfg.ledgerSize(rate).burst
+	must.Eq(t, int(full/4), l.Ask(now.Add(time.Second), request(1000)).Tokens)
+	must.Eq(t, 400*time.Millisecond, l.Ask(now.Add(time.Second), request(1)).Spacing)
 	later := begin.Add(2 * time.Minute)
 	must.Eq(t, 1.0, r.Update(later, table(5, 15)).Share)
 	must.False(t, r.Changing())
 }
 
-// The loss of a member moves its organisations only, to those that were their standbys.
+// The loss of a member moves only its own organisations, and each to its standby.
 func TestOwnersMoveOnlyWithTheirMembers(t *testing.T) {
 	r := NewTracker("n0", "z", begin)
 	before, after := r.Update(begin, table(20, 0)), r.Update(begin, table(19, 1))
--- a/coordination/quota/use.go
+++ b/coordination/quota/use.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// useTime is the time constant with which events fall out of a use.
-const useTime = 300 * time.Millisecond
+// rateTimeConstant is the time constant of the exponential decay of a rateEstimate.
+const rateTimeConstant = 300 * time.Millisecond
 
-// use estimates how many events come a second, with an exponentially decaying sum.
-type use struct {
-	sum float64
-	at  time.Time
+// rateEstimate estimates the events per second from an exponentially decaying sum.
+type rateEstimate struct {
+	sum     float64
+	updated time.Time
 }
 
-func (u *use) add(now time.Time, n float64) {
-	u.decay(now)
-	u.sum += n
+func (e *rateEstimate) add(now time.Time, n float64) {
+	e.decay(now)
+	e.sum += n
 }
 
-func (u *use) decay(now time.Time) {
-	if passed := now.Sub(u.at); passed > 0 {
-		u.sum *= math.Exp(-passed.Seconds() / useTime.Seconds())
-		u.at = now
+func (e *rateEstimate) decay(now time.Time) {
+	if elapsed := now.Sub(e.updated); elapsed > 0 {
+		e.sum *= math.Exp(-elapsed.Seconds() / rateTimeConstant.Seconds())
+		e.updated = now
 	}
 }
 
-func (u *use) perSecond(now time.Time) float64 {
-	u.decay(now)
-	return u.sum / useTime.Seconds()
+func (e *rateEstimate) perSecond(now time.Time) float64 {
+	e.decay(now)
+	return e.sum / rateTimeConstant.Seconds()
 }
 
-// reserveTime is how long a node may use a token that it holds in reserve.
-const reserveTime = 500 * time.Millisecond
+// reserveLifetime is how long a node may use a token that it holds in advance.
+const reserveLifetime = 500 * time.Millisecond
 
-// recent sums what was counted in the last period, and of the one before as well at times: between
-// one and two of them.
-type recent struct {
-	current, before float64
-	since           time.Time
+// windowSum is a sum over the current and the previous period, which together span between one and
+// two periods.
+type windowSum struct {
+	current, previous float64
+	start             time.Time
 }
 
-func (r *recent) add(now time.Time, period time.Duration, n float64) {
-	r.turn(now, period)
-	r.current += n
+func (w *windowSum) add(now time.Time, period time.Duration, n float64) {
+	w.rotate(now, period)
+	w.current += n
 }
 
-func (r *recent) sum(now time.Time, period time.Duration) float64 {
-	r.turn(now, period)
-	return r.current + r.before
+func (w *windowSum) sum(now time.Time, period time.Duration) float64 {
+	w.rotate(now, period)
+	return w.current + w.previous
 }
 
-func (r *recent) turn(now time.Time, period time.Duration) {
-	switch passed := now.Sub(r.since); {
-	case passed >= 2*period:
-		r.current, r.before, r.since = 0, 0, now
-	case passed >= period:
-		r.current, r.before, r.since = 0, r.current, now
+func (w *windowSum) rotate(now time.Time, period time.Duration) {
+	switch elapsed := now.Sub(w.start); {
+	case elapsed >= 2*period:
+		w.current, w.previous, w.start = 0, 0, now
+	case elapsed >= period:
+		w.current, w.previous, w.start = 0, w.current, now
 	}
 }
