--- a/coordination/quota/deposit.go
+++ b/coordination/quota/deposit.go
@@ -114,8 +114,8 @@
 	return tokens, target > 0
 }
 
-// Deposited records the size of the deposit that the standby reports in its response.
-func (l *Ledger) Deposited(organisation string, standby model.NodeID, held float64) {
+// ConfirmDeposit records the size of the deposit that the standby reports in its response.
+func (l *Ledger) ConfirmDeposit(organisation string, standby model.NodeID, held float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.entries[organisation]; e != nil && e.placed.standby == standby {
@@ -146,9 +146,9 @@
 	e.level += tokens
 }
 
-// Keep adds tokens to the deposit that this node, as the standby, holds for an owner. It returns
-// the size of the deposit.
-func (l *Ledger) Keep(now time.Time, organisation string, rate model.Rate, tokens float64) (held float64) {
+// AcceptDeposit adds tokens to the deposit that this node, as the standby, holds for an owner. It
+// returns the size of the deposit.
+func (l *Ledger) AcceptDeposit(now time.Time, organisation string, rate model.Rate, tokens float64) (held float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(now, organisation, rate)
@@ -162,9 +162,9 @@
 	return e.held.tokens
 }
 
-// TakeKept takes need tokens, one for each request, from the deposit that this node holds as the
-// standby. It takes none and returns false if the deposit holds fewer.
-func (l *Ledger) TakeKept(now time.Time, organisation string, need int) bool {
+// TakeDeposited takes need tokens, one for each request, from the deposit that this node holds as
+// the standby. It takes none and returns false if the deposit holds fewer.
+func (l *Ledger) TakeDeposited(now time.Time, organisation string, need int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[organisation]
@@ -175,10 +175,10 @@
 	return true
 }
 
-// LendKept returns up to want tokens of the standby to the owner, or to another zone that can't
-// reach the owner. They come from the deposit and, if the standby issues tokens itself, from its
-// entry as an owner would lend them.
-func (l *Ledger) LendKept(now time.Time, organisation string, want float64) (tokens float64) {
+// LendDeposited returns up to want tokens of the standby to the owner, or to another zone that
+// can't reach the owner. They come from the deposit and, if the standby issues tokens itself, from
+// its entry as an owner would lend them.
+func (l *Ledger) LendDeposited(now time.Time, organisation string, want float64) (tokens float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[organisation]
--- a/coordination/quota/deposit_test.go
+++ b/coordination/quota/deposit_test.go
@@ -20,7 +20,7 @@
 
 func newPair(seed uint64, rate model.Rate) *pair {
 	p := &pair{owner: NewLedger(cfg), standby: NewLedger(cfg), rate: rate, rng: rand.New(rand.NewPCG(seed, 1))}
-	p.owner.Own(begin, 1, p.quotas(), ownsAll)
+	p.owner.SetOwned(begin, 1, p.quotas(), ownsAll)
 	return p
 }
 
@@ -34,16 +34,16 @@
 	if !due || !p.delivered() {
 		return
 	}
-	if held := p.standby.Keep(now, "o", p.rate, tokens); p.delivered() {
-		p.owner.Deposited("o", "standby", held)
+	if held := p.standby.AcceptDeposit(now, "o", p.rate, tokens); p.delivered() {
+		p.owner.ConfirmDeposit("o", "standby", held)
 	}
 }
 
 // acquire requests one token from a ledger and returns the number granted.
 func (p *pair) acquire(l *Ledger, now time.Time, ended bool) int {
-	r := Request{Organisation: "o", Rate: p.rate, Need: 1, Ended: ended}
-	l.Preview(now, r)
-	return l.Ask(now, r).Tokens
+	r := Request{Organisation: "o", Rate: p.rate, Need: 1, OwnerEnded: ended}
+	l.Shortfall(now, r)
+	return l.Acquire(now, r).Tokens
 }
 
 // fill advances the time until ledger and deposit are full, and returns the new time.
@@ -63,7 +63,7 @@
 	for _, rate := range rates {
 		p := newPair(1, rate)
 		now := p.fill()
-		must.True(t, p.standby.TakeKept(now, "o", 1))
+		must.True(t, p.standby.TakeDeposited(now, "o", 1))
 		must.Eq(t, 0, p.acquire(NewLedger(Config{Zones: 3, Window: cfg.Window}), now, false))
 		rest := int(p.standby.depositSize(rate) - 1)
 		for range rest {
@@ -90,11 +90,11 @@
 				case 0:
 					given += float64(p.acquire(p.owner, now, false))
 				case 1:
-					if p.standby.TakeKept(now, "o", 1) {
+					if p.standby.TakeDeposited(now, "o", 1) {
 						given++
 					}
 				case 2:
-					if returned := p.standby.LendKept(now, "o", 1); p.delivered() {
+					if returned := p.standby.LendDeposited(now, "o", 1); p.delivered() {
 						p.owner.TakeBack(now, "o", rate, returned)
 					}
 				}
@@ -143,7 +143,7 @@
 		now, admitted := p.fill(), 0
 		deposit := p.standby.depositSize(rate)
 		for range 20 {
-			p.standby.Keep(now, "o", rate, 0)
+			p.standby.AcceptDeposit(now, "o", rate, 0)
 			for range 2 * int(deposit+1) {
 				admitted += p.acquire(p.standby, now, false)
 			}
@@ -169,22 +169,22 @@
 	now = now.Add(time.Second)
 	p.owner.Deposit(now, "o", "other")
 	later := now.Add(5 * time.Second)
-	must.Less(t, full, float64(p.owner.Ask(later, Request{Organisation: "o", Rate: p.rate, Need: 1000}).Tokens))
+	must.Less(t, full, float64(p.owner.Acquire(later, Request{Organisation: "o", Rate: p.rate, Need: 1000}).Tokens))
 }
 
 // A lowered quota also limits the deposit that a standby holds.
 func TestLoweredQuotaLimitsDeposits(t *testing.T) {
 	p := newPair(1, rates[2])
 	now := p.fill()
-	p.standby.Own(now, 1, map[string]model.Rate{"o": rates[0]}, nil)
-	must.LessEq(t, p.standby.depositSize(rates[0]), p.standby.LendKept(now, "o", 1000))
+	p.standby.SetOwned(now, 1, map[string]model.Rate{"o": rates[0]}, nil)
+	must.LessEq(t, p.standby.depositSize(rates[0]), p.standby.LendDeposited(now, "o", 1000))
 }
 
 // A deposit expires at the standby before the owner issues its tokens again.
 func TestDepositExpiresAtStandbyFirst(t *testing.T) {
 	p := newPair(1, rates[1])
 	now := p.fill().Add(depositLifetime)
-	must.False(t, p.standby.TakeKept(now, "o", 1))
+	must.False(t, p.standby.TakeDeposited(now, "o", 1))
 	must.Eq(t, "standby", p.owner.Depositary(now, "o"))
 	must.Eq(t, "", p.owner.Depositary(now.Add(depositExpiryMargin), "o"))
 }
--- a/coordination/quota/doc.go
+++ b/coordination/quota/doc.go
@@ -8,8 +8,9 @@
 //     organisation in rendezvous hashing (Members.Owners): this spreads the load over all
 //     members, and the loss of a member moves only its own organisations.
 //   - The member that ranks second is the standby. It holds some of the owner's tokens as a
-//     deposit (Ledger.Deposit, Ledger.Keep) and gives them out while the owner doesn't respond.
-//     While it considers the owner gone it issues tokens itself, within the remaining allowance.
+//     deposit (Ledger.Deposit, Ledger.AcceptDeposit) and gives them out while the owner doesn't
+//     respond. While it considers the owner gone it issues tokens itself, within the remaining
+//     allowance.
 //   - A node requests tokens from the owner, and holds a few in advance for organisations whose
 //     requests arrive frequently (Lease).
 //   - An owner that is short of tokens borrows from the owners in other zones.
--- a/coordination/quota/faults_test.go
+++ b/coordination/quota/faults_test.go
@@ -43,8 +43,8 @@
 	now := begin.Add(time.Minute)
 	r := request(1000)
 	r.Return = 40
-	l.Preview(now, r)
-	must.LessEq(t, int(cfg.ledgerSize(rate).burst), l.Ask(now, r).Tokens)
+	l.Shortfall(now, r)
+	must.LessEq(t, int(cfg.ledgerSize(rate).burst), l.Acquire(now, r).Tokens)
 }
 
 // Delays stay within their bounds at rates so small that the time per token overflows a
@@ -52,8 +52,8 @@
 func TestTinyRatesKeepRetryAfterWithinBounds(t *testing.T) {
 	tiny := model.Rate{PerSecond: 1e-12, Burst: 1}
 	l := NewLedger(cfg)
-	g := l.Ask(begin, Request{Organisation: "o", Rate: tiny, Need: 100, Slots: 1})
-	must.Between(t, time.Millisecond, g.After, slotHorizon)
+	g := l.Acquire(begin, Request{Organisation: "o", Rate: tiny, Need: 100, Slots: 1})
+	must.Between(t, time.Millisecond, g.RetryAfter, slotHorizon)
 	must.Between(t, time.Millisecond, g.Spacing, slotHorizon)
 	lease := NewLease(tiny)
 	lease.TakeEvenShare(begin, cfg, 64, 0)
@@ -68,7 +68,7 @@
 	l := NewLedger(cfg)
 	tokens, now := 0, begin
 	for ; now.Before(begin.Add(time.Minute)); now = now.Add(standbyIdleTime + 100*time.Millisecond) {
-		tokens += l.Ask(now, Request{Organisation: "o", Rate: slow, Need: 1}).Tokens
+		tokens += l.Acquire(now, Request{Organisation: "o", Rate: slow, Need: 1}).Tokens
 	}
 	must.LessEq(t, cfg.initialTokens(slow)+reducedRateFraction*cfg.ledgerSize(slow).perSecond*now.Sub(begin).Seconds(), float64(tokens))
 }
@@ -78,10 +78,10 @@
 func TestNewLedgerOfSmallPartitionHoldsAToken(t *testing.T) {
 	slow := model.Rate{PerSecond: 3, Burst: 3}
 	l := NewLedger(cfg)
-	l.Own(begin, 0.25, map[string]model.Rate{"o": slow}, ownsAll)
-	must.Eq(t, 1, l.Ask(begin, Request{Organisation: "o", Rate: slow, Need: 5}).Tokens)
+	l.SetOwned(begin, 0.25, map[string]model.Rate{"o": slow}, ownsAll)
+	must.Eq(t, 1, l.Acquire(begin, Request{Organisation: "o", Rate: slow, Need: 5}).Tokens)
 	small := Config{Zones: 3, Window: cfg.Window, Slack: 2}
 	l = NewLedger(small)
-	l.Own(begin, 0.25, map[string]model.Rate{"o": slow}, ownsAll)
-	must.Eq(t, 0, l.Ask(begin, Request{Organisation: "o", Rate: slow, Need: 5}).Tokens)
+	l.SetOwned(begin, 0.25, map[string]model.Rate{"o": slow}, ownsAll)
+	must.Eq(t, 0, l.Acquire(begin, Request{Organisation: "o", Rate: slow, Need: 5}).Tokens)
 }
--- a/coordination/quota/lease.go
+++ b/coordination/quota/lease.go
@@ -37,9 +37,9 @@
 	return l
 }
 
-// Follow sets the organisation's quota. If it differs from the previous one, the held tokens and
+// SetRate sets the organisation's quota. If it differs from the previous one, the held tokens and
 // the current refusal are dropped.
-func (l *Lease) Follow(rate model.Rate) {
+func (l *Lease) SetRate(rate model.Rate) {
 	old := l.rate.Load()
 	if *old == rate || !l.rate.CompareAndSwap(old, &rate) {
 		return
@@ -82,8 +82,8 @@
 // ledger.
 const localRefusalTime = 100 * time.Millisecond
 
-// Reached records that an owner has responded.
-func (l *Lease) Reached(now time.Time) {
+// RecordOwnerResponse records that an owner has responded.
+func (l *Lease) RecordOwnerResponse(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ownerReached = now
@@ -97,17 +97,17 @@
 	l.refusedAt = now
 	retryAfter := make([]time.Duration, unserved)
 	for i := range retryAfter {
-		retryAfter[i] = min(g.After+time.Duration(i)*g.Spacing, slotHorizon)
+		retryAfter[i] = min(g.RetryAfter+time.Duration(i)*g.Spacing, slotHorizon)
 	}
-	l.nextRetry, l.spacing = now.Add(g.After+time.Duration(unserved)*g.Spacing), g.Spacing
-	l.refuseUntil.Store(now.Add(min(g.After, localRefusalTime)).UnixNano())
+	l.nextRetry, l.spacing = now.Add(g.RetryAfter+time.Duration(unserved)*g.Spacing), g.Spacing
+	l.refuseUntil.Store(now.Add(min(g.RetryAfter, localRefusalTime)).UnixNano())
 	return retryAfter
 }
 
-// Refused reports whether the node refuses a request without a request to the ledger, and returns
-// its Retry-After delay. It refuses as many requests as it requested retry slots for, and further
-// ones only if their delay reaches slotOrderHorizon, which is longer than callers wait.
-func (l *Lease) Refused(now time.Time) (retryAfter time.Duration, refused bool) {
+// RefuseLocally reports whether the node refuses a request without a request to the ledger, and
+// returns its Retry-After delay. It refuses as many requests as it requested retry slots for, and
+// further ones only if their delay reaches slotOrderHorizon, which is longer than callers wait.
+func (l *Lease) RefuseLocally(now time.Time) (retryAfter time.Duration, refused bool) {
 	if now.UnixNano() >= l.refuseUntil.Load() {
 		return 0, false
 	}
--- a/coordination/quota/ledger.go
+++ b/coordination/quota/ledger.go
@@ -54,10 +54,10 @@
 // accumulate tokens that the owner issues too.
 const standbyIdleTime = time.Second
 
-// Own sets the quotas of all organisations, the organisations whose ledgers this node owns, and the
-// fraction of the zone's members that it sees live, which limits the tokens that it issues. It
+// SetOwned sets the quotas of all organisations, the organisations whose ledgers this node owns, and
+// the fraction of the zone's members that it sees live, which limits the tokens that it issues. It
 // returns the tokens of the organisations that it no longer owns, for transfer to the new owners.
-func (l *Ledger) Own(now time.Time, liveFraction float64, quotas map[string]model.Rate, owned map[string]struct{}) map[string]float64 {
+func (l *Ledger) SetOwned(now time.Time, liveFraction float64, quotas map[string]model.Rate, owned map[string]struct{}) map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.liveFraction = liveFraction
@@ -174,34 +174,34 @@
 	Refused, Slots int
 	// Return is the number of tokens that the node returns.
 	Return float64
-	// Ended is set in a request to a standby if the owner's process has ended.
-	Ended bool
+	// OwnerEnded is set in a request to a standby if the owner's process has ended.
+	OwnerEnded bool
 }
 
 // Grant is the response to a Request.
 type Grant struct {
 	// Tokens is the number of tokens granted.
 	Tokens int
-	// After is the delay until the first retry slot if too few tokens were granted, and Spacing
+	// RetryAfter is the delay until the first retry slot if too few tokens were granted, and Spacing
 	// the time between slots: there is one for each unserved request and each requested slot.
-	After, Spacing time.Duration
+	RetryAfter, Spacing time.Duration
 }
 
-// Preview returns how many tokens the entry lacks for a request, which it counts as demand.
-func (l *Ledger) Preview(now time.Time, r Request) (shortfall float64) {
+// Shortfall returns how many tokens the entry lacks for a request, which it counts as demand.
+func (l *Ledger) Shortfall(now time.Time, r Request) (shortfall float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(now, r.Organisation, r.Rate)
 	e.lastRequest = now
-	e.ownerEnded = r.Ended
+	e.ownerEnded = r.OwnerEnded
 	e.startIssuing(now)
 	e.addReturned(l.ledgerSize(e.rate), now, r.Return)
 	e.demand.add(now, float64(r.Need+r.Refused))
 	return max(0, float64(r.Need)-e.level)
 }
 
-// Ask grants tokens. It assigns consecutive retry slots to the requests that get none.
-func (l *Ledger) Ask(now time.Time, r Request) Grant {
+// Acquire grants tokens. It assigns consecutive retry slots to the requests that get none.
+func (l *Ledger) Acquire(now time.Time, r Request) Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(now, r.Organisation, r.Rate)
@@ -210,7 +210,7 @@
 	e.level -= float64(granted)
 	g := Grant{Tokens: granted}
 	if granted < r.Need {
-		g.After, g.Spacing = e.assignSlots(l.ledgerSize(e.rate), now, r.Need-granted+r.Slots)
+		g.RetryAfter, g.Spacing = e.assignSlots(l.ledgerSize(e.rate), now, r.Need-granted+r.Slots)
 		return g
 	}
 	if e.level >= l.ledgerSize(e.rate).burst*plentyFraction {
@@ -256,8 +256,8 @@
 	e.level = max(e.level, min(capacity, e.level+max(0, tokens)))
 }
 
-// Use returns the recent demand of the node's own zone in requests per second.
-func (l *Ledger) Use(now time.Time, organisation string) float64 {
+// Demand returns the recent demand of the node's own zone in requests per second.
+func (l *Ledger) Demand(now time.Time, organisation string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.entries[organisation]; e != nil {
--- a/coordination/quota/members.go
+++ b/coordination/quota/members.go
@@ -27,9 +27,9 @@
 	Zones map[model.Zone][]Member
 	// Fleet is the number of nodes, including those that failed within failedMemberTime.
 	Fleet int
-	// Share is the fraction of the own zone's members that this node sees live. Members that
+	// LiveFraction is the fraction of the own zone's members that this node sees live. Members that
 	// failed recently may still run, with the rest of the zone, behind a network partition.
-	Share float64
+	LiveFraction float64
 	// ownFrom is when this node may start to own ledgers; zero means never.
 	ownFrom time.Time
 }
@@ -119,7 +119,7 @@
 		m.Zones[rec.Zone] = append(m.Zones[rec.Zone], Member{Node: rec.Node, Zone: rec.Zone, Addr: rec.GateAddr, key: key})
 		return true
 	})
-	m.Share = float64(ownLive) / float64(max(1, ownKnown))
+	m.LiveFraction = float64(ownLive) / float64(max(1, ownKnown))
 	m.ownFrom = k.settle(now, live)
 	k.recentFailures = m.Fleet > live
 	k.last = m
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -24,7 +24,7 @@
 
 func newOwner(now time.Time) *Ledger {
 	l := NewLedger(cfg)
-	l.Own(now, 1, map[string]model.Rate{"o": rate}, ownsAll)
+	l.SetOwned(now, 1, map[string]model.Rate{"o": rate}, ownsAll)
 	return l
 }
 
@@ -34,7 +34,7 @@
 // tokens.
 func TestNewLedgerStartsWithFewTokens(t *testing.T) {
 	l := newOwner(begin)
-	must.LessEq(t, int(cfg.allowance(rate)*initialFraction), l.Ask(begin, request(1000)).Tokens)
+	must.LessEq(t, int(cfg.allowance(rate)*initialFraction), l.Acquire(begin, request(1000)).Tokens)
 }
 
 // Whatever is requested, a zone grants no more than its part in any window.
@@ -51,7 +51,7 @@
 		now = now.Add(time.Duration(r.ExpFloat64() * float64(5*time.Millisecond)))
 		q := request(r.IntN(4))
 		q.Reserve = r.IntN(8)
-		all = append(all, grant{now, l.Ask(now, q).Tokens})
+		all = append(all, grant{now, l.Acquire(now, q).Tokens})
 	}
 	zone := cfg.ledgerSize(rate)
 	limit := zone.perSecond*cfg.Window.Seconds() + zone.burst
@@ -71,15 +71,15 @@
 	l := newOwner(begin)
 	now := begin.Add(time.Minute)
 	low := model.Rate{PerSecond: 3, Burst: 3}
-	l.Own(now, 1, map[string]model.Rate{"o": low}, ownsAll)
+	l.SetOwned(now, 1, map[string]model.Rate{"o": low}, ownsAll)
 	q := request(1000)
 	q.Rate = low
-	must.LessEq(t, int(cfg.ledgerSize(low).burst), l.Ask(now, q).Tokens)
+	must.LessEq(t, int(cfg.ledgerSize(low).burst), l.Acquire(now, q).Tokens)
 }
 
 func TestRemovedQuotaRemovesEntry(t *testing.T) {
 	l := newOwner(begin)
-	l.Own(begin, 1, nil, ownsAll)
+	l.SetOwned(begin, 1, nil, ownsAll)
 	must.MapEmpty(t, l.entries)
 }
 
@@ -87,20 +87,20 @@
 func TestLedgerTokensMoveToNewOwnerOnce(t *testing.T) {
 	l := newOwner(begin)
 	now := begin.Add(time.Minute)
-	handover := l.Own(now, 1, map[string]model.Rate{"o": rate}, nil)
+	handover := l.SetOwned(now, 1, map[string]model.Rate{"o": rate}, nil)
 	must.Eq(t, map[string]float64{"o": cfg.ledgerSize(rate).burst}, handover)
 	other := newOwner(now)
 	other.Receive(now, "o", rate, handover["o"])
-	must.Eq(t, int(cfg.ledgerSize(rate).burst+cfg.initialTokens(rate)), other.Ask(now, request(1000)).Tokens)
+	must.Eq(t, int(cfg.ledgerSize(rate).burst+cfg.initialTokens(rate)), other.Acquire(now, request(1000)).Tokens)
 	must.MapEmpty(t, l.entries)
 }
 
 // A standby must not accumulate tokens that the owner issues too.
 func TestIdleStandbyAccumulatesNothing(t *testing.T) {
 	l := NewLedger(cfg)
-	l.Ask(begin, request(1000))
+	l.Acquire(begin, request(1000))
 	later := begin.Add(time.Minute)
-	must.LessEq(t, int(cfg.initialTokens(rate)), l.Ask(later, request(1000)).Tokens)
+	must.LessEq(t, int(cfg.initialTokens(rate)), l.Acquire(later, request(1000)).Tokens)
 }
 
 func TestLenderKeepsWhatItsZoneNeeds(t *testing.T) {
@@ -109,7 +109,7 @@
 	full := cfg.ledgerSize(rate).burst
 	lent := l.Lend(now, "o", rate, 1000)
 	must.Eq(t, full/2, lent)
-	must.Eq(t, int(full-lent), l.Ask(now, request(1000)).Tokens)
+	must.Eq(t, int(full-lent), l.Acquire(now, request(1000)).Tokens)
 	must.Less(t, 1, l.Lend(now, "o", rate, 1000))
 }
 
@@ -118,18 +118,18 @@
 	for _, tokens := range []float64{-5, 0, math.Inf(1)} {
 		l.Receive(begin, "o", rate, tokens)
 	}
-	must.Eq(t, int(cfg.initialTokens(rate)), l.Ask(begin, request(1000)).Tokens)
+	must.Eq(t, int(cfg.initialTokens(rate)), l.Acquire(begin, request(1000)).Tokens)
 }
 
 // Refused requests get consecutive retry slots.
 func TestRetrySlotsAreConsecutive(t *testing.T) {
 	l := newOwner(begin)
-	l.Ask(begin, request(1000))
+	l.Acquire(begin, request(1000))
 	l = newOwner(begin)
-	l.Ask(begin, request(int(cfg.initialTokens(rate))))
-	first, second := l.Ask(begin, request(1)), l.Ask(begin, request(1))
-	must.Positive(t, first.After)
-	must.Eq(t, first.After+first.Spacing, second.After)
+	l.Acquire(begin, request(int(cfg.initialTokens(rate))))
+	first, second := l.Acquire(begin, request(1)), l.Acquire(begin, request(1))
+	must.Positive(t, first.RetryAfter)
+	must.Eq(t, first.RetryAfter+first.Spacing, second.RetryAfter)
 	must.Eq(t, 100*time.Millisecond, first.Spacing)
 }
 
@@ -140,7 +140,7 @@
 	must.False(t, a.Take(begin.Add(reserveLifetime)))
 	must.Eq(t, 1, a.Request(begin.Add(reserveLifetime), "o", 1).Return)
 	a.Put(begin, 2)
-	a.Follow(model.Rate{PerSecond: 3, Burst: 3})
+	a.SetRate(model.Rate{PerSecond: 3, Burst: 3})
 	must.False(t, a.Take(begin))
 }
 
@@ -195,16 +195,16 @@
 	now := begin.Add(30 * time.Second)
 	m := r.Update(now, table(5, 15))
 	must.True(t, m.MayOwn(now))
-	must.Eq(t, 0.25, m.Share)
+	must.Eq(t, 0.25, m.LiveFraction)
 	must.Eq(t, 20, m.Fleet)
 	must.True(t, r.Changing())
 	l := newOwner(begin)
-	l.Own(now, m.Share, map[string]model.Rate{"o": rate}, ownsAll)
+	l.SetOwned(now, m.LiveFraction, map[string]model.Rate{"o": rate}, ownsAll)
 	full := cfg.ledgerSize(rate).burst
-	must.Eq(t, int(full/4), l.Ask(now.Add(time.Second), request(1000)).Tokens)
-	must.Eq(t, 400*time.Millisecond, l.Ask(now.Add(time.Second), request(1)).Spacing)
+	must.Eq(t, int(full/4), l.Acquire(now.Add(time.Second), request(1000)).Tokens)
+	must.Eq(t, 400*time.Millisecond, l.Acquire(now.Add(time.Second), request(1)).Spacing)
 	later := begin.Add(2 * time.Minute)
-	must.Eq(t, 1.0, r.Update(later, table(5, 15)).Share)
+	must.Eq(t, 1.0, r.Update(later, table(5, 15)).LiveFraction)
 	must.False(t, r.Changing())
 }
 
--- a/transport/quota/deposit.go
+++ b/transport/quota/deposit.go
@@ -20,7 +20,7 @@
 	go func() {
 		a := l.call(context.Background(), second, &Message{Kind: KindDeposit, Organisation: organisation, Want: tokens})
 		if a != nil && a.Owned {
-			l.ledger.Deposited(organisation, second.Node, a.Tokens)
+			l.ledger.ConfirmDeposit(organisation, second.Node, a.Tokens)
 		}
 	}()
 }
@@ -70,8 +70,8 @@
 		}
 	}
 	g = sum.grant(quota.Request{Need: asked * r.Need})
-	if answered = g.Tokens > 0 || g.After > 0; g.After == 0 {
-		g.After, g.Spacing = loanPause, loanPause
+	if answered = g.Tokens > 0 || g.RetryAfter > 0; g.RetryAfter == 0 {
+		g.RetryAfter, g.Spacing = loanPause, loanPause
 	}
 	return g, answered
 }
--- a/transport/quota/limiter.go
+++ b/transport/quota/limiter.go
@@ -87,7 +87,7 @@
 	l.queues.Range(func(key, value any) bool {
 		name, _ := key.(string)
 		if rate, limited := quotas[name]; limited {
-			value.(*queue).Follow(rate)
+			value.(*queue).SetRate(rate)
 		} else {
 			l.queues.Delete(name)
 		}
@@ -109,7 +109,7 @@
 	mayOwn := m.MayOwn(now)
 	share := 1.0
 	if m != nil {
-		share = m.Share
+		share = m.LiveFraction
 	}
 	quotas := *l.quotas.Load()
 	// Hashing all members for all organisations takes long in a large fleet: not while
@@ -120,7 +120,7 @@
 			owned[organisation] = struct{}{}
 		}
 	}
-	left := l.ledger.Own(now, share, quotas, owned)
+	left := l.ledger.SetOwned(now, share, quotas, owned)
 	for organisation, tokens := range left {
 		first, _ := m.Owners(l.cfg.Zone, organisation)
 		_ = l.cfg.Logger.Log("event", "quota_owner_changed", "organisation", organisation, "owner", first.Node)
@@ -163,7 +163,7 @@
 	for quotas := (*map[string]model.Rate)(nil); quotas != l.quotas.Load(); {
 		quotas = l.quotas.Load()
 		if rate, limited := (*quotas)[o.Name]; limited {
-			q.Follow(rate)
+			q.SetRate(rate)
 		}
 	}
 	return q
@@ -179,7 +179,7 @@
 		q.counts.admitted.Inc()
 		return 0, true
 	}
-	after, refused := q.Refused(now)
+	after, refused := q.RefuseLocally(now)
 	if !refused && late {
 		after, refused = q.Scarce(now)
 	}
--- a/transport/quota/loan.go
+++ b/transport/quota/loan.go
@@ -42,7 +42,7 @@
 	done := make(chan struct{})
 	b.done = done
 	b.mu.Unlock()
-	got := l.askZones(ctx, organisation, rate, lack+l.ledger.Use(l.cfg.Now(), organisation)*loanAhead.Seconds())
+	got := l.askZones(ctx, organisation, rate, lack+l.ledger.Demand(l.cfg.Now(), organisation)*loanAhead.Seconds())
 	b.mu.Lock()
 	b.done = nil
 	if got < lack {
--- a/transport/quota/owner.go
+++ b/transport/quota/owner.go
@@ -54,9 +54,9 @@
 // grant returns what an answer gives, no more than was asked for.
 func (a *Answer) grant(r quota.Request) quota.Grant {
 	return quota.Grant{
-		Tokens:  min(int(a.Tokens), r.Need+r.Reserve),
-		After:   time.Duration(a.AfterMillis) * time.Millisecond,
-		Spacing: time.Duration(a.SpacingMillis) * time.Millisecond,
+		Tokens:     min(int(a.Tokens), r.Need+r.Reserve),
+		RetryAfter: time.Duration(a.AfterMillis) * time.Millisecond,
+		Spacing:    time.Duration(a.SpacingMillis) * time.Millisecond,
 	}
 }
 
@@ -109,7 +109,7 @@
 			return &Answer{Owned: true, Tokens: lent}
 		}
 		if second.Node == l.cfg.Self {
-			return &Answer{Owned: true, Tokens: l.ledger.LendKept(now, r.Organisation, m.Want)}
+			return &Answer{Owned: true, Tokens: l.ledger.LendDeposited(now, r.Organisation, m.Want)}
 		}
 	case KindTransfer:
 		if mine {
@@ -118,7 +118,7 @@
 		}
 	case KindDeposit:
 		if second.Node == l.cfg.Self {
-			return &Answer{Owned: true, Tokens: l.ledger.Keep(now, r.Organisation, rate, m.Want)}
+			return &Answer{Owned: true, Tokens: l.ledger.AcceptDeposit(now, r.Organisation, rate, m.Want)}
 		}
 	}
 	return &Answer{}
@@ -140,12 +140,12 @@
 		if second.Node != l.cfg.Self || ctx.Err() != nil {
 			return &Answer{}
 		}
-		if l.ledger.TakeKept(l.cfg.Now(), r.Organisation, r.Need) {
+		if l.ledger.TakeDeposited(l.cfg.Now(), r.Organisation, r.Need) {
 			return &Answer{Owned: true, Tokens: float64(r.Need)}
 		}
 	}
 	if second.Node == l.cfg.Self && l.suspects.gone(first.Node, l.cfg.Now()) {
-		r.Ended = l.suspects.ended(first.Node, l.cfg.Now())
+		r.OwnerEnded = l.suspects.ended(first.Node, l.cfg.Now())
 		return l.serve(ctx, r)
 	}
 	return &Answer{}
@@ -160,13 +160,13 @@
 	if rate, limited := (*l.quotas.Load())[r.Organisation]; limited {
 		r.Rate = rate
 	}
-	if lack := l.ledger.Preview(now, r); lack > 0 {
+	if lack := l.ledger.Shortfall(now, r); lack > 0 {
 		l.borrow(ctx, r.Organisation, r.Rate, lack)
 	}
-	g := l.ledger.Ask(l.cfg.Now(), r)
+	g := l.ledger.Acquire(l.cfg.Now(), r)
 	l.deposit(r.Organisation)
 	return &Answer{
-		Owned: true, Tokens: float64(g.Tokens), AfterMillis: millis(g.After), SpacingMillis: millis(g.Spacing),
+		Owned: true, Tokens: float64(g.Tokens), AfterMillis: millis(g.RetryAfter), SpacingMillis: millis(g.Spacing),
 	}
 }
 
--- a/transport/quota/wait.go
+++ b/transport/quota/wait.go
@@ -84,7 +84,7 @@
 		l.settleByEvenShare(q, round)
 		return
 	}
-	q.Reached(l.cfg.Now())
+	q.RecordOwnerResponse(l.cfg.Now())
 	q.settle(l.cfg.Now(), round, g)
 }
 
