--- a/coordination/core/core.go
+++ b/coordination/core/core.go
@@ -15,63 +15,64 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// Event is something that happened. Each core documents the events it takes
-// and ignores the others.
+// Event is an input of a core. Each core documents the events that it takes and
+// ignores the others.
 type Event interface {
-	// Event marks the type.
+	// Event marks a type as an event; it does nothing.
 	Event()
 }
 
-// Action is something that the driver must do. Actions are carried out in the
-// order returned.
+// Action is an output of a core, to be performed by its driver. The driver
+// performs actions in the order in which Step returns them.
 type Action interface {
-	// Action marks the type.
+	// Action marks a type as an action; it does nothing.
 	Action()
 }
 
-// Tick tells a core that time has passed. Drivers send one at least every
-// 100 ms.
+// Tick reports that time has passed. Drivers send one at least every 100 ms.
 type Tick struct{}
 
-// PeerUp reports a connection to a peer after Hello and Welcome.
+// PeerUp reports that a connection to a peer is established: Hello and Welcome have
+// been exchanged.
 type PeerUp struct {
-	// Record is the peer's own record.
+	// Record is the peer's endpoint record, as sent by the peer itself.
 	Record endpoint.Record
-	// Held is the version the peer holds.
+	// Held is the configuration version that the peer holds.
 	Held snapshot.Ref
 	// Ready says that the peer serves requests with Held.
 	Ready bool
-	// Digest is the peer's endpoint table's digest.
+	// Digest is the digest of the peer's endpoint table, by zone.
 	Digest []message.ZoneDigest
-	// LastHeld is the newest version the peer knows this node to have held; 0
-	// when it knows none.
+	// LastHeld is the newest version that, by the peer's record, this node has held;
+	// 0 if the peer has recorded none.
 	LastHeld uint64
-	// Answered says that LastHeld is what the peer remembers of this very node:
-	// in a Welcome, or in a Hello that names it.
+	// Answered says that LastHeld refers to this node, so that 0 means that the peer
+	// has recorded no version: it came in a Welcome, or in a Hello addressed to this
+	// node by name.
 	Answered bool
-	// Welcomed is set on the side that dialled: Incarnation and Drained are the
-	// peer's answers about this node.
+	// Welcomed is set on the side that dialled. Only then are Incarnation, Drained
+	// and DrainedInstance set, from the peer's Welcome.
 	Welcomed bool
-	// Incarnation is the newest incarnation of this node that the peer knows.
+	// Incarnation is the newest incarnation of this node that the peer has recorded.
 	Incarnation uint64
-	// Drained says that the peer knows this node's backend server to have been
+	// Drained says that, by the peer's record, this node's backend server was
 	// draining in the node's last incarnation.
 	Drained bool
-	// DrainedInstance is that backend server's instance, where it has one.
+	// DrainedInstance is the instance of that backend server, if it has one.
 	DrainedInstance string
 }
 
-// PeerDown reports that the last connection to a peer ended.
+// PeerDown reports that the last connection to a peer has closed.
 type PeerDown struct {
 	// Node is the peer.
 	Node model.NodeID
 }
 
-// DialFailed reports that a Connect failed.
+// DialFailed reports that a Connect action failed.
 type DialFailed struct {
-	// Node is the peer; empty for a seed whose name is not known.
+	// Node is the peer; empty for a seed address whose node isn't known.
 	Node model.NodeID
-	// Addr is the address dialled.
+	// Addr is the address that was dialled.
 	Addr string
 }
 
@@ -98,26 +99,27 @@
 // Event implements Event.
 func (Received) Event() {}
 
-// Send asks for a message to be sent to a connected peer. It is dropped when
-// the peer is no longer connected.
+// Send sends a message to a connected peer. The driver drops the message if the peer
+// is no longer connected.
 type Send struct {
 	// To is the peer.
 	To model.NodeID
-	// Priority orders it among the messages that wait for the peer.
+	// Priority orders the message among those queued for the peer.
 	Priority message.Priority
-	// Message must not be changed afterwards.
+	// Message is the message; it must not be modified afterwards.
 	Message message.Message
 }
 
-// Connect asks for a connection. The driver answers with PeerUp or DialFailed.
+// Connect opens a connection to a peer. The driver reports the result as PeerUp or
+// DialFailed.
 type Connect struct {
-	// Node is the peer; empty for a seed whose name is not known.
+	// Node is the peer; empty for a seed address whose node isn't known.
 	Node model.NodeID
 	// Addr is the peer's control address, IP:port.
 	Addr string
 }
 
-// Disconnect asks for a connection to be closed.
+// Disconnect closes the connection to a peer.
 type Disconnect struct {
 	// Node is the peer.
 	Node model.NodeID
--- a/coordination/evacuation/core.go
+++ b/coordination/evacuation/core.go
@@ -1,7 +1,7 @@
 // Package evacuation distributes the operators' orders to evacuate availability zones to all
 // nodes.
 //
-// The nodes that read the store learn of an order first and flood it. Peers also exchange all
+// The nodes that read the store receive an order first and flood it. Peers also exchange all
 // orders when they connect, and periodically with a random peer. Orders are few, and the one
 // with the highest store revision wins. A whole read of the store also cancels evacuations
 // that the store no longer holds.
@@ -132,14 +132,15 @@
 	c.send(from, newer)
 }
 
-// merge takes over an order if it is newer than the known one, and floods it to the peers.
+// merge stores an order if it is newer than the held one for its zone, and floods it to the
+// peers except from, its sender; from is empty if the order was read from the store.
 func (c *Core) merge(from model.NodeID, o evacuation.Order) {
-	was := c.table.Active(o.Zone)
+	wasActive := c.table.Active(o.Zone)
 	if !c.table.Merge(o) {
 		return
 	}
 	delete(c.cancellations, o.Zone)
-	if was != o.Active {
+	if wasActive != o.Active {
 		c.out = append(c.out, Changed{Zones: c.table.Zones(), Order: o})
 	}
 	for _, to := range c.peers.All() {
@@ -149,6 +150,8 @@
 	}
 }
 
+// tick applies the cancellations that are due and, if a comparison is due, sends all orders to
+// a random peer.
 func (c *Core) tick() {
 	for _, e := range c.cancellations {
 		if !c.now.Before(e.at) {
@@ -160,6 +163,7 @@
 	}
 }
 
+// send sends orders to a peer, if there are any and it is connected.
 func (c *Core) send(to model.NodeID, orders []evacuation.Order) {
 	if len(orders) > 0 && c.peers.Has(to) {
 		c.out = append(c.out, core.Send{To: to, Priority: message.Urgent, Message: &message.Evacuations{Orders: orders}})
--- a/coordination/evacuation/core_test.go
+++ b/coordination/evacuation/core_test.go
@@ -23,7 +23,7 @@
 	cores []*Core
 	zones [][]model.Zone // the evacuated zones that each node last reported
 	links map[[2]int]bool
-	sent  int
+	sent  int // number of messages sent, lost ones included
 	lose  func(from, to int) bool
 }
 
@@ -77,6 +77,7 @@
 	}
 }
 
+// wait advances the time; each node gets a tick every 100 ms.
 func (w *world) wait(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(100 * time.Millisecond) {
 		for i := range w.cores {
@@ -95,6 +96,7 @@
 	return true
 }
 
+// order returns an order to evacuate a zone, or a cancellation if active is false.
 func order(zone model.Zone, revision uint64, active bool) evacuation.Order {
 	return evacuation.Order{Zone: zone, Revision: revision, Active: active}
 }
@@ -115,7 +117,7 @@
 	}
 }
 
-// A node that has started or was partitioned learns the orders from any peer, and its lack of
+// A node that has started or was partitioned receives the orders from any peer, and its lack of
 // them doesn't cancel those of its peers.
 func TestOrderReachesNodesAfterAPartition(t *testing.T) {
 	w := newWorld(12)
--- a/coordination/peerset/peerset.go
+++ b/coordination/peerset/peerset.go
@@ -1,5 +1,6 @@
-// Package peerset holds the peers of a core that floods what it knows and compares it with
-// a random peer now and then, against messages that were lost.
+// Package peerset holds the connected peers of a core that floods its state to them, and
+// schedules the anti-entropy that repairs lost messages: periodic comparisons of the state
+// with a random peer.
 package peerset
 
 import (
@@ -11,36 +12,36 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// compareInterval is the time between two comparisons with a random peer: three times
-// membership's own bound on what a peer has to hear.
+// compareInterval is the time between two comparisons with a random peer. It is three times
+// membership's own bound on the time until a peer must have received an update.
 const compareInterval = 3 * time.Second
 
-// Set is the connected peers. It is not safe for concurrent use.
+// Set is the set of connected peers. It is not safe for concurrent use.
 type Set struct {
 	rng       *rand.Rand
 	ids       map[model.NodeID]bool
-	compareAt time.Time
+	compareAt time.Time // time of the next comparison
 }
 
-// New returns an empty set.
+// New returns an empty set. The seed is that of the choice of peers to compare with.
 func New(seed uint64) *Set {
 	return &Set{rng: rand.New(rand.NewPCG(seed, 0)), ids: make(map[model.NodeID]bool)}
 }
 
-// Up adds a peer, and Down removes it.
+// Up adds a peer that has connected.
 func (s *Set) Up(id model.NodeID) { s.ids[id] = true }
 
-// Down removes a peer.
+// Down removes a peer that has disconnected.
 func (s *Set) Down(id model.NodeID) { delete(s.ids, id) }
 
 // Has reports whether a node is a connected peer.
 func (s *Set) Has(id model.NodeID) bool { return s.ids[id] }
 
-// All returns the peers in order.
+// All returns the peers in the order of their identifiers.
 func (s *Set) All() []model.NodeID { return slices.Sorted(maps.Keys(s.ids)) }
 
-// Compare returns the peer that it is time to compare with. It reports false where it
-// isn't time, or there is none.
+// Compare returns a random peer to compare the state with if a comparison is due, and
+// schedules the next one. It reports false if none is due or no peer is connected.
 func (s *Set) Compare(now time.Time) (model.NodeID, bool) {
 	if now.Before(s.compareAt) {
 		return "", false
--- a/coordination/quarantine/core.go
+++ b/coordination/quarantine/core.go
@@ -13,50 +13,54 @@
 )
 
 const (
-	// batchDelay is the least time between two floods of news that isn't urgent: a
-	// single crash is known to a peer at once, and a herd of crashes goes out ten times
-	// a second.
+	// batchDelay is the minimum time between two floods of evidence that isn't urgent.
+	// A single crash is sent to the peers at once; many crashes in a row are batched
+	// into ten floods a second.
 	batchDelay = 100 * time.Millisecond
-	// expireInterval is the time between two looks for what is outdated; the shortest
-	// time that anything is kept is minutes.
+	// expireInterval is the time between two removals of expired entries. The shortest
+	// retention time of an entry is minutes.
 	expireInterval = 10 * time.Second
 )
 
-// Core shares the evidence of all nodes. It takes core.Tick, core.PeerUp,
-// core.PeerDown, core.Received, Crashed, Succeeded and Learned. It is not safe for
-// concurrent use.
+// Core is the state machine of one node that replicates the evidence among all nodes.
+// It floods new entries and compares digests with a random peer (anti-entropy) to
+// repair losses. It takes core.Tick, core.PeerUp, core.PeerDown, core.Received, Crashed,
+// Succeeded and Learned. It is not safe for concurrent use.
 type Core struct {
 	now   time.Time
 	out   []core.Action
 	table *suspect.Table
 	peers *peerset.Set
-	// own are the crashes beside this node.
-	own map[uint64]bool
-	// pending are the entries to pass on, with the peer that has sent each; empty for
-	// the own node.
+	// ownCrashes holds the IDs of the crashes on this node's host.
+	ownCrashes map[uint64]bool
+	// pending holds the entries to forward to the peers, each with the peer that sent
+	// it; empty if there is no single sender or the entry is from this node.
 	pending map[suspect.Fingerprint]model.NodeID
-	sentAt  time.Time // when news was last sent
-	// urgent says that a request is quarantined, or one crash away from it: until all
-	// nodes know, each may send it to one more backend server.
+	sentAt  time.Time // time of the last flood
+	// urgent says that a pending request is quarantined or one crash away from it, or
+	// was cleared in that state. Until all nodes have received a quarantine, each
+	// may send the request to one more backend server.
 	urgent   bool
-	expireAt time.Time // when it is time to look for what is outdated
-	changed  bool
+	expireAt time.Time // time of the next removal of expired entries
+	changed  bool      // the view has changed in the current step
 }
 
-// New returns the core of a node that knows nothing.
+// New returns the core of a node without any evidence. The seed determines the order
+// in which peers are chosen for comparisons.
 func New(seed uint64) *Core {
 	return &Core{
-		table:   suspect.NewTable(),
-		peers:   peerset.New(seed),
-		own:     make(map[uint64]bool),
-		pending: make(map[suspect.Fingerprint]model.NodeID),
+		table:      suspect.NewTable(),
+		peers:      peerset.New(seed),
+		ownCrashes: make(map[uint64]bool),
+		pending:    make(map[suspect.Fingerprint]model.NodeID),
 	}
 }
 
-// View returns what the path of a request needs.
+// View returns the suspected and quarantined requests, for use on the request path.
 func (c *Core) View() *suspect.View { return c.table.View() }
 
-// Witnessed returns the quarantines whose evidence has a crash beside this node.
+// Witnessed returns the quarantined requests whose evidence includes a crash on this
+// node's host.
 func (c *Core) Witnessed() []suspect.Entry {
 	return slices.DeleteFunc(c.table.All(), func(e suspect.Entry) bool { return !e.Quarantined() || !c.witness(e) })
 }
@@ -105,12 +109,12 @@
 	}
 }
 
-// crashed takes the evidence of a crash beside this node.
+// crashed merges the evidence of a crash on this node's host.
 func (c *Core) crashed(ev Crashed) {
-	if len(c.own) >= suspect.MaxEntries {
-		clear(c.own) // witnesses of a later quarantine are found among other nodes
+	if len(c.ownCrashes) >= suspect.MaxEntries {
+		clear(c.ownCrashes) // other nodes are witnesses of a later quarantine
 	}
-	c.own[ev.Crash.ID] = true
+	c.ownCrashes[ev.Crash.ID] = true
 	entries := make([]suspect.Entry, 0, len(ev.Fingerprints))
 	for _, f := range ev.Fingerprints {
 		entries = append(entries, suspect.Entry{Fingerprint: f, Evidence: []suspect.Evidence{{Crash: ev.Crash}}})
@@ -118,8 +122,8 @@
 	c.merge("", entries)
 }
 
-// merge takes entries of a peer, or of this node where from is empty, and passes on
-// what is news.
+// merge merges entries of a peer, or of this node if from is empty, into the table and
+// queues those that add evidence for the other peers.
 func (c *Core) merge(from model.NodeID, entries []suspect.Entry) {
 	for _, e := range entries {
 		before, _ := c.table.Get(e.Fingerprint)
@@ -136,23 +140,24 @@
 	}
 }
 
-// source returns the peer that has sent all that waits to be passed on of a request;
-// empty where there is none: each peer is told then.
+// source returns the peer that has sent all pending evidence of a request, given that
+// more has come from the named peer. It returns an empty ID if there is no single
+// sender; the entry then goes to every peer.
 func (c *Core) source(f suspect.Fingerprint, from model.NodeID) model.NodeID {
-	if former, waits := c.pending[f]; waits && former != from {
+	if former, queued := c.pending[f]; queued && former != from {
 		return ""
 	}
 	return from
 }
 
-// witness reports whether a crash beside this node is part of the evidence.
+// witness reports whether the evidence includes a crash on this node's host.
 func (c *Core) witness(e suspect.Entry) bool {
-	return slices.ContainsFunc(e.Evidence, func(v suspect.Evidence) bool { return c.own[v.Crash.ID] })
+	return slices.ContainsFunc(e.Evidence, func(v suspect.Evidence) bool { return c.ownCrashes[v.Crash.ID] })
 }
 
-// succeeded clears a request. One that is a crash away from its quarantine is cleared
-// everywhere; for others the one success here is enough for this node, and the next
-// success anywhere clears them there.
+// succeeded clears a request. If the request is quarantined or one crash away from it,
+// the clearing is flooded to all nodes. Otherwise only this node clears it; each other
+// node does so at the next success that it sees itself.
 func (c *Core) succeeded(f suspect.Fingerprint) {
 	before, _ := c.table.Get(f)
 	if !c.table.Refute(f) {
@@ -170,12 +175,12 @@
 		c.expireAt = c.now.Add(expireInterval)
 		c.changed = c.table.Expire(c.now)
 	}
-	c.compare()
+	c.sendDigest()
 }
 
-// compare tells a random peer the digest, where it is time. Nodes without evidence are
-// told by those that have some.
-func (c *Core) compare() {
+// sendDigest sends the digest to a random peer if a comparison is due. A node without
+// evidence sends none: the comparisons of nodes that hold evidence cover it.
+func (c *Core) sendDigest() {
 	to, due := c.peers.Compare(c.now)
 	if !due || c.table.Len() == 0 {
 		return
@@ -183,25 +188,25 @@
 	c.act(core.Send{To: to, Priority: message.Normal, Message: &message.SuspectsDigest{Hash: c.table.Digest()}})
 }
 
-// sendAll sends a peer all that is held.
+// sendAll sends a peer all entries.
 func (c *Core) sendAll(to model.NodeID) {
 	if c.table.Len() > 0 && c.peers.Has(to) {
 		c.act(core.Send{To: to, Priority: message.Urgent, Message: &message.Suspects{Entries: c.table.All()}})
 	}
 }
 
-// flush passes the waiting entries on to each peer that hasn't sent them itself.
+// flush sends the pending entries to each peer, except those that the peer itself sent.
 func (c *Core) flush() {
 	fingerprints := slices.Sorted(maps.Keys(c.pending))
 	for _, to := range c.peers.All() {
-		var news []suspect.Entry
+		var entries []suspect.Entry
 		for _, f := range fingerprints {
 			if e, held := c.table.Get(f); held && c.pending[f] != to {
-				news = append(news, e)
+				entries = append(entries, e)
 			}
 		}
-		if len(news) > 0 {
-			c.act(core.Send{To: to, Priority: message.Urgent, Message: &message.Suspects{Entries: news}})
+		if len(entries) > 0 {
+			c.act(core.Send{To: to, Priority: message.Urgent, Message: &message.Suspects{Entries: entries}})
 		}
 	}
 	clear(c.pending)
--- a/coordination/quarantine/core_test.go
+++ b/coordination/quarantine/core_test.go
@@ -16,19 +16,19 @@
 	"github.com/jacinthgate/jacinthgate/state/suspect"
 )
 
-// network is a few cores in virtual time, each linked with the next two on a ring.
+// network simulates cores in virtual time, each linked with the next two on a ring.
 type network struct {
 	t     *testing.T
 	now   time.Time
 	cores map[model.NodeID]*Core
 	links map[[2]model.NodeID]bool
 	queue []envelope
-	// lose drops messages; nil loses none.
+	// lose reports whether a message is lost; nil loses none.
 	lose func(envelope) bool
-	// messages and told count what was sent, and the requests that were quarantined by
-	// node.
+	// messages and entries count the messages sent and the entries in them.
 	messages, entries int
-	told              map[model.NodeID][]Quarantined
+	// reported holds the quarantines that each node has reported.
+	reported map[model.NodeID][]Quarantined
 }
 
 type envelope struct {
@@ -41,7 +41,7 @@
 func newNetwork(t *testing.T, n int) *network {
 	w := &network{
 		t: t, now: time.Unix(1_000_000, 0), cores: make(map[model.NodeID]*Core),
-		links: make(map[[2]model.NodeID]bool), told: make(map[model.NodeID][]Quarantined),
+		links: make(map[[2]model.NodeID]bool), reported: make(map[model.NodeID][]Quarantined),
 	}
 	for i := range n {
 		w.cores[node(i)] = New(uint64(i))
@@ -63,7 +63,7 @@
 	w.step(b, core.PeerUp{Record: endpoint.Record{Node: a}})
 }
 
-// cut ends all links of a node.
+// cut closes all links of a node.
 func (w *network) cut(a model.NodeID) {
 	for pair := range maps.Clone(w.links) {
 		if pair[0] == a {
@@ -75,6 +75,8 @@
 	}
 }
 
+// step passes an event to a node's core, queues the messages that result and records the
+// other actions.
 func (w *network) step(at model.NodeID, ev core.Event) {
 	c := w.cores[at]
 	before := c.View()
@@ -94,15 +96,15 @@
 		case Changed:
 			changed = true
 		case Quarantined:
-			w.told[at] = append(w.told[at], a)
+			w.reported[at] = append(w.reported[at], a)
 		}
 	}
 	if !changed {
-		must.Eq(w.t, before, c.View(), must.Sprint("a change of the view is told"))
+		must.Eq(w.t, before, c.View(), must.Sprint("the view changed without the action Changed"))
 	}
 }
 
-// run lets time pass: messages take a millisecond, ticks come each 100 ms.
+// run advances the time. Messages take a millisecond; each core gets a tick every 100 ms.
 func (w *network) run(d time.Duration) {
 	for i := range int(d / time.Millisecond) {
 		w.now = w.now.Add(time.Millisecond)
@@ -121,13 +123,13 @@
 	}
 }
 
-// crash ends the backend server beside a node with requests under way.
+// crash crashes the backend server on a node's host while requests are in flight.
 func (w *network) crash(at int, fingerprints ...suspect.Fingerprint) {
 	id := uint64(w.now.UnixNano()) + uint64(at)
 	w.step(node(at), Crashed{Crash: suspect.Crash{ID: id, At: w.now.Unix()}, Fingerprints: fingerprints})
 }
 
-// quarantined returns the nodes that don't send a request.
+// quarantined returns the number of nodes that don't send a request.
 func (w *network) quarantined(f suspect.Fingerprint) int {
 	n := 0
 	for _, c := range w.cores {
@@ -138,126 +140,127 @@
 	return n
 }
 
-// Each crash is seen beside another node. All nodes know the request within 0.2 s of
-// the third one, whichever node it is asked at next.
-func TestCrashesBesideDifferentNodesCountTogether(t *testing.T) {
+// Each crash happens on another host. All nodes must quarantine the request within 0.2 s
+// of the third crash, as its next retry may arrive at any node.
+func TestCrashesOnDifferentHostsCountTogether(t *testing.T) {
 	w := newNetwork(t, 12)
-	const deadly, chance = 7, 8
-	w.crash(0, deadly, chance)
-	w.crash(4, deadly)
+	const crashing, bystander = 7, 8
+	w.crash(0, crashing, bystander)
+	w.crash(4, crashing)
 	w.run(100 * time.Millisecond)
-	must.Zero(t, w.quarantined(deadly))
-	w.crash(9, deadly)
+	must.Zero(t, w.quarantined(crashing))
+	w.crash(9, crashing)
 	w.run(200 * time.Millisecond)
-	must.Eq(t, 12, w.quarantined(deadly))
-	must.Zero(t, w.quarantined(chance))
+	must.Eq(t, 12, w.quarantined(crashing))
+	must.Zero(t, w.quarantined(bystander))
 	witnesses := 0
-	for _, told := range w.told {
-		must.Len(t, 1, told)
-		if told[0].Witness {
+	for _, reported := range w.reported {
+		must.Len(t, 1, reported)
+		if reported[0].Witness {
 			witnesses++
 		}
 	}
 	must.Eq(t, 3, witnesses)
 }
 
-// A crash beside a node waits for the next flood when a peer's news of the same request
-// comes in. That peer was taken for the source of both and not told of the first: it
-// learnt of it by a comparison up to 3 s later.
-func TestOwnCrashIsToldToAPeerThatTellsOfAnother(t *testing.T) {
+// A crash on a node's own host is pending for the next flood when a peer sends evidence
+// against the same request. Guards against taking that peer for the sender of both: it
+// would get the first crash only by a comparison of digests, up to 3 s later.
+func TestOwnCrashIsSentToAPeerThatSendsAnother(t *testing.T) {
 	w := newNetwork(t, 2)
-	const deadly, other = 7, 9
-	w.crash(0, other) // goes out at once, so that what follows waits
+	const crashing, other = 7, 9
+	w.crash(0, other) // flooded at once, which delays the next flood
 	w.run(90 * time.Millisecond)
-	w.crash(0, deadly)
+	w.crash(0, crashing)
 	w.run(12 * time.Millisecond)
-	w.crash(1, deadly) // goes out at once
+	w.crash(1, crashing) // flooded at once
 	w.run(200 * time.Millisecond)
 	for at := range 2 {
-		e, _ := w.cores[node(at)].table.Get(deadly)
+		e, _ := w.cores[node(at)].table.Get(crashing)
 		must.Len(t, 2, e.Evidence, must.Sprint(at))
 	}
 }
 
-// A request that was under way at three crashes by chance is served on if it succeeds
-// anywhere before the third.
+// A request that was in flight at three crashes by coincidence isn't quarantined if it
+// succeeds on any node before the third.
 func TestSuccessAnywhereClearsARequestEverywhere(t *testing.T) {
 	w := newNetwork(t, 12)
-	const chance = 8
-	w.crash(0, chance)
-	w.crash(4, chance)
+	const bystander = 8
+	w.crash(0, bystander)
+	w.crash(4, bystander)
 	w.run(200 * time.Millisecond)
-	w.step(node(7), Succeeded{Fingerprint: chance})
+	w.step(node(7), Succeeded{Fingerprint: bystander})
 	w.run(200 * time.Millisecond)
-	w.crash(9, chance)
+	w.crash(9, bystander)
 	w.run(200 * time.Millisecond)
-	must.Zero(t, w.quarantined(chance))
+	must.Zero(t, w.quarantined(bystander))
 }
 
-func TestNodesThatStartOrWereCutOffLearnWhatIsQuarantined(t *testing.T) {
+func TestStartedAndReconnectedNodesReceiveQuarantines(t *testing.T) {
 	w := newNetwork(t, 6)
-	const deadly = 7
+	const crashing = 7
 	w.cut(node(5))
 	for i := range 3 {
-		w.crash(i, deadly)
+		w.crash(i, crashing)
 	}
 	w.run(time.Second)
-	must.Eq(t, 5, w.quarantined(deadly))
+	must.Eq(t, 5, w.quarantined(crashing))
 	w.link(node(5), node(0))
 	w.run(10 * time.Millisecond)
-	must.Eq(t, 6, w.quarantined(deadly))
+	must.Eq(t, 6, w.quarantined(crashing))
 	w.cores[node(6)] = New(6)
 	w.link(node(5), node(6))
 	w.run(10 * time.Millisecond)
-	must.Eq(t, 7, w.quarantined(deadly))
+	must.Eq(t, 7, w.quarantined(crashing))
 }
 
-// A node that was cut off from its fellows while it saw a crash adds it to theirs.
-func TestEvidenceOfANodeThatWasCutOffCounts(t *testing.T) {
+// The crash that a disconnected node has seen counts together with those of the other
+// nodes once it reconnects.
+func TestEvidenceOfADisconnectedNodeCounts(t *testing.T) {
 	w := newNetwork(t, 6)
-	const deadly = 7
+	const crashing = 7
 	w.cut(node(5))
-	w.crash(5, deadly)
-	w.crash(0, deadly)
-	w.crash(1, deadly)
+	w.crash(5, crashing)
+	w.crash(0, crashing)
+	w.crash(1, crashing)
 	w.run(time.Second)
-	must.Zero(t, w.quarantined(deadly))
+	must.Zero(t, w.quarantined(crashing))
 	w.link(node(5), node(3))
 	w.run(200 * time.Millisecond)
-	must.Eq(t, 6, w.quarantined(deadly))
+	must.Eq(t, 6, w.quarantined(crashing))
 }
 
-// What messages have lost is made up for by comparing digests.
-func TestLostMessagesAreMadeUpFor(t *testing.T) {
+// The comparison of digests repairs the loss of all messages that carried evidence.
+func TestDigestsRepairLostMessages(t *testing.T) {
 	w := newNetwork(t, 6)
-	const deadly = 7
+	const crashing = 7
 	w.lose = func(envelope) bool { return true }
 	for i := range 3 {
-		w.crash(i, deadly)
+		w.crash(i, crashing)
 	}
 	w.run(time.Second)
-	must.Zero(t, w.quarantined(deadly))
+	must.Zero(t, w.quarantined(crashing))
 	w.lose = nil
 	w.run(30 * time.Second)
-	must.Eq(t, 6, w.quarantined(deadly))
+	must.Eq(t, 6, w.quarantined(crashing))
 }
 
-// What the store kept is known again where all nodes have started anew.
-func TestQuarantineIsLearnedFromTheStore(t *testing.T) {
+// After a restart of all nodes, one node that reads the store spreads its quarantines.
+func TestQuarantineIsLoadedFromTheStore(t *testing.T) {
 	w := newNetwork(t, 6)
-	const deadly = 7
-	w.step(node(2), Learned{Entries: []suspect.Entry{suspect.Stored(deadly, w.now.Add(-time.Hour))}})
+	const crashing = 7
+	w.step(node(2), Learned{Entries: []suspect.Entry{suspect.Stored(crashing, w.now.Add(-time.Hour))}})
 	w.run(200 * time.Millisecond)
-	must.Eq(t, 6, w.quarantined(deadly))
-	for _, told := range w.told {
-		must.False(t, told[0].Witness, must.Sprint("it is in the store"))
+	must.Eq(t, 6, w.quarantined(crashing))
+	for _, reported := range w.reported {
+		must.False(t, reported[0].Witness, must.Sprint("a quarantine from the store needs no write"))
 	}
 }
 
-// Seventy backend servers that end at once, for reasons of their own, make suspects
-// of seven requests each. Every node takes part in passing that on; afterwards it is
-// quiet.
-func TestHerdOfCrashesCostsFewMessages(t *testing.T) {
+// Seventy backend servers crash at once for unrelated reasons, with seven requests in
+// flight each, all of which become suspects. Every node takes part in the flood; after
+// it, only periodic digests may be sent.
+func TestManySimultaneousCrashesCostFewMessages(t *testing.T) {
 	w := newNetwork(t, 100)
 	before := w.messages
 	for i := range 70 {
@@ -274,6 +277,6 @@
 	must.Between(t, 0, float64(w.entries)/100, 2500, must.Sprint("entries sent by one node"))
 	before, w.entries = w.messages, 0
 	w.run(30 * time.Second)
-	must.Between(t, 0, float64(w.messages-before)/100, 11, must.Sprint("one digest each 3 s"))
+	must.Between(t, 0, float64(w.messages-before)/100, 11, must.Sprint("one digest every 3 s"))
 	must.Zero(t, w.entries)
 }
--- a/coordination/quarantine/doc.go
+++ b/coordination/quarantine/doc.go
@@ -1,23 +1,24 @@
-// Package quarantine keeps requests that crash backend servers from being sent
+// Package quarantine stops requests that crash backend servers from being sent
 // again.
 //
-// Such a request ends each backend server that begins to run it. Its caller asks
-// again, at any node and under a new identifier, so that no bound on the attempts of
-// one identifier holds it: with nine backend servers some twenty ended under one
-// request. Three parts stop it:
+// Such a request crashes each backend server that starts to run it. Its caller
+// retries it, at any node and under a new request identifier, so a limit on the
+// attempts per identifier doesn't stop it: with nine backend servers, one request
+// caused some twenty crashes. Three parts stop it:
 //
-//   - Watch finds, beside one backend server, which requests were under way when it
-//     ended.
-//   - Core shares this evidence among all nodes, so that crashes beside different
-//     nodes count together, and gives it to nodes that start or were cut off.
-//   - A suspect.View tells the path of a request which requests are not sent.
+//   - Watch determines, for the backend server of one host, which requests were in
+//     flight when it crashed.
+//   - Core replicates this evidence to all nodes, so that crashes on different hosts
+//     are counted together, and sends it to nodes that start or reconnect.
+//   - A suspect.View gives the request path the requests that must not be sent.
 //
-// A request that was there by chance is cleared by its next success anywhere.
+// A request that was in flight at a crash by coincidence is cleared by its next
+// success on any node.
 package quarantine
 
 import "time"
 
-// RetryAfter is after what time the caller of a quarantined request should come back:
-// it isn't served before the fault in the backend servers is mended, which takes people
-// minutes at least. Callers that wait less than that end with the refusal.
+// RetryAfter is the Retry-After delay of a quarantined request. The request isn't
+// served before the fault in the backend servers is fixed, which takes people
+// minutes at least. Callers that won't wait this long fail with the refusal.
 const RetryAfter = time.Minute
--- a/coordination/quarantine/event.go
+++ b/coordination/quarantine/event.go
@@ -2,19 +2,20 @@
 
 import "github.com/jacinthgate/jacinthgate/state/suspect"
 
-// Crashed reports a crash of the host's backend server and the requests that were
-// under way.
+// Crashed is the event that the host's backend server has crashed, with the requests
+// that were in flight.
 type Crashed struct {
 	Crash        suspect.Crash
 	Fingerprints []suspect.Fingerprint
 }
 
-// Succeeded reports that a suspected request has succeeded.
+// Succeeded is the event that a suspected request has succeeded on this host.
 type Succeeded struct {
 	Fingerprint suspect.Fingerprint
 }
 
-// Learned reports what was known before this node started.
+// Learned is the event that the quarantines recorded in the platform's store
+// have been read.
 type Learned struct {
 	Entries []suspect.Entry
 }
@@ -28,14 +29,14 @@
 // Event implements core.Event.
 func (Learned) Event() {}
 
-// Changed reports that View returns a newer view to publish.
+// Changed is the action to publish the view that Core.View returns, which has changed.
 type Changed struct{}
 
-// Quarantined reports that a request is no longer sent.
+// Quarantined is the action to report that a request is no longer sent.
 type Quarantined struct {
 	Entry suspect.Entry
-	// Witness says that a crash beside this node is part of the evidence: such nodes
-	// put the quarantine where it outlasts them.
+	// Witness says that a crash on this node's host is part of the evidence. Such
+	// nodes write the quarantine to the store, where it survives a restart of all nodes.
 	Witness bool
 }
 
--- a/coordination/quarantine/watch.go
+++ b/coordination/quarantine/watch.go
@@ -12,114 +12,121 @@
 )
 
 const (
-	// maxOpen bounds the runs without an answer that are remembered: some times the
-	// slots of a backend server.
-	maxOpen = 128
-	// leftWindow is how long a run that its caller has left may still end the backend
-	// server: most give it up at once, few work on for some hundred milliseconds.
-	leftWindow = time.Second
-	// stragglerWindow is how long after the end of a backend server further broken
-	// runs are put down to it: their goroutines learn of it within milliseconds, and
-	// no backend server is back before.
+	// maxUnanswered bounds the runs without a response that are kept. It is several times
+	// the number of slots of a backend server.
+	maxUnanswered = 128
+	// abandonedWindow is how long an abandoned run may still crash the backend server. Most
+	// backend servers stop such a run at once, a few continue it for some hundred
+	// milliseconds.
+	abandonedWindow = time.Second
+	// stragglerWindow is how long after a crash further runs that lose their connection
+	// are attributed to it. The goroutines of these runs notice the loss within
+	// milliseconds, and no backend server has restarted by then.
 	stragglerWindow = 50 * time.Millisecond
 )
 
-// Cut says how a run ended without an answer.
+// Cut is the reason why a run, the execution of a request by the backend server, ended
+// without a response.
 type Cut uint8
 
-// The ways.
+// The reasons.
 const (
-	// Broken is a run whose connection the backend server broke off.
+	// Broken means that the backend server closed the connection during the run.
 	Broken Cut = iota
-	// Left is a run that its caller, or this node, has given up.
+	// Left means that the caller, or this node, abandoned the run. The backend server
+	// may continue it for a short time.
 	Left
 )
 
-// open is a run without an answer.
-type open struct {
+// unansweredRun is a run that ended without a response.
+type unansweredRun struct {
 	fingerprint suspect.Fingerprint
 	at          time.Time
 	cut         Cut
 }
 
-// Watch finds which requests were under way when the host's backend server ended. A
-// broken connection alone doesn't tell: an answer may be lost, a connection reset. The
-// backend server has ended where it also refuses connections, or starts anew; where it
-// shows a sign of life after the run broke off, it hasn't. Watch is safe for
-// concurrent use.
+// Watch determines which requests were in flight when the host's backend server
+// crashed. A lost connection alone doesn't prove a crash: a response may be lost or a
+// connection reset. It counts as a crash once the backend server also refuses
+// connections or a new instance starts, and not if the backend server responds or
+// accepts a connection after the loss. Watch is safe for concurrent use.
 type Watch struct {
 	mu sync.Mutex
-	// instance is the start of the backend server that the runs are of.
-	instance string
-	open     []open
-	// crash is the last end that was found, of the start named ended, at endedAt.
-	crash   suspect.Crash
-	ended   string
-	endedAt time.Time
+	// instance is the backend server's instance that the runs in unanswered belong to.
+	instance   string
+	unanswered []unansweredRun
+	// crash is the last crash found, crashed the instance that it ended, and crashedAt the
+	// time at which the crash was found.
+	crash     suspect.Crash
+	crashed   string
+	crashedAt time.Time
 }
 
-// Note notes a run that ended without an answer. Where that belongs to an end that is
-// known already, known is true and the crash is returned.
+// Note records a run that ended without a response at now. If the run is attributed to
+// a crash that was already found, it returns that crash, and known is true. It ignores
+// a run with fingerprint 0.
 func (w *Watch) Note(now time.Time, instance string, f suspect.Fingerprint, cut Cut) (crash suspect.Crash, known bool) {
 	if f == 0 {
 		return suspect.Crash{}, false
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if cut == Broken && instance == w.ended && now.Sub(w.endedAt) < stragglerWindow {
+	if cut == Broken && instance == w.crashed && now.Sub(w.crashedAt) < stragglerWindow {
 		return w.crash, true
 	}
-	w.follow(instance)
-	if len(w.open) < maxOpen {
-		w.open = append(w.open, open{fingerprint: f, at: now, cut: cut})
+	w.switchTo(instance)
+	if len(w.unanswered) < maxUnanswered {
+		w.unanswered = append(w.unanswered, unansweredRun{fingerprint: f, at: now, cut: cut})
 	}
 	return suspect.Crash{}, false
 }
 
-// follow forgets the runs of former starts.
-func (w *Watch) follow(instance string) {
+// switchTo switches to an instance and discards the runs of earlier ones.
+func (w *Watch) switchTo(instance string) {
 	if w.instance != instance {
-		w.instance, w.open = instance, nil
+		w.instance, w.unanswered = instance, nil
 	}
 }
 
-// Alive notes a sign of life of the backend server: it has answered a request that was
-// sent at since, or accepted a connection. What broke off before wasn't its end.
+// Alive records that the backend server was alive after since: it has responded to a
+// request sent at since, or accepted a connection opened then. It discards the runs that
+// lost their connection before since, as no crash caused that, and the runs abandoned
+// too long before since.
 func (w *Watch) Alive(since time.Time, instance string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.instance != instance {
 		return
 	}
-	kept := w.open[:0]
-	for _, o := range w.open {
-		until := o.at
+	kept := w.unanswered[:0]
+	for _, o := range w.unanswered {
+		suspectUntil := o.at
 		if o.cut == Left {
-			until = o.at.Add(leftWindow)
+			suspectUntil = o.at.Add(abandonedWindow)
 		}
-		if until.After(since) {
+		if suspectUntil.After(since) {
 			kept = append(kept, o)
 		}
 	}
-	w.open = kept
+	w.unanswered = kept
 }
 
-// Ended notes that a start of the backend server has ended without a goodbye. It
-// returns the crash and the requests that were under way; there are none where the end
-// was known.
+// Ended records that an instance of the backend server has ended without a goodbye. It
+// returns the crash and the requests that were in flight. The list is empty if no run of
+// the instance is left to attribute, as after an earlier call for the same crash.
 func (w *Watch) Ended(now time.Time, instance string) (suspect.Crash, []suspect.Fingerprint) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.instance != instance || len(w.open) == 0 {
+	if w.instance != instance || len(w.unanswered) == 0 {
 		return suspect.Crash{}, nil
 	}
-	fingerprints := make([]suspect.Fingerprint, 0, len(w.open))
-	for _, o := range w.open {
+	fingerprints := make([]suspect.Fingerprint, 0, len(w.unanswered))
+	for _, o := range w.unanswered {
 		fingerprints = append(fingerprints, o.fingerprint)
 	}
-	w.open = nil
-	if instance != w.ended || now.Sub(w.endedAt) >= stragglerWindow {
-		w.ended, w.endedAt = instance, now
+	w.unanswered = nil
+	if instance != w.crashed || now.Sub(w.crashedAt) >= stragglerWindow {
+		w.crashed, w.crashedAt = instance, now
 		w.crash = suspect.Crash{
 			ID: xxhash.Sum64String(instance + " " + strconv.FormatInt(now.UnixNano(), 10)),
 			At: now.Unix(),
@@ -128,10 +135,10 @@
 	return w.crash, fingerprints
 }
 
-// Unexplained reports whether runs of a start broke off and nothing has told since
-// whether that was its end.
+// Unexplained reports whether runs of an instance have lost their connection and it is
+// still undecided whether the instance crashed.
 func (w *Watch) Unexplained(instance string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.instance == instance && slices.ContainsFunc(w.open, func(o open) bool { return o.cut == Broken })
+	return w.instance == instance && slices.ContainsFunc(w.unanswered, func(o unansweredRun) bool { return o.cut == Broken })
 }
--- a/coordination/quarantine/watch_test.go
+++ b/coordination/quarantine/watch_test.go
@@ -11,11 +11,12 @@
 
 var begin = time.Unix(1_000_000, 0)
 
+// after returns a time relative to begin.
 func after(d time.Duration) time.Time { return begin.Add(d) }
 
-// A backend server ends with three requests under way: their connections break off,
-// then one more is refused.
-func TestRunsThatBrokeOffBeforeTheEndAreItsEvidence(t *testing.T) {
+// A backend server crashes with three requests in flight: their connections are lost,
+// then a further connection is refused.
+func TestConnectionsLostBeforeACrashAreItsEvidence(t *testing.T) {
 	var w Watch
 	for f := range suspect.Fingerprint(3) {
 		_, known := w.Note(after(0), "a", f+1, Broken)
@@ -30,15 +31,15 @@
 	must.Len(t, 0, again)
 
 	late, known := w.Note(after(10*time.Millisecond), "a", 4, Broken)
-	must.True(t, known, must.Sprint("its goroutine has learned of it last"))
+	must.True(t, known, must.Sprint("its goroutine noticed the loss late"))
 	must.Eq(t, crash, late)
 }
 
-// A lost answer breaks one connection off, and the backend server works on.
-func TestRunThatBrokeOffAloneIsNoEnd(t *testing.T) {
+// A lost response closes one connection while the backend server continues to run.
+func TestSingleLostConnectionIsNoCrash(t *testing.T) {
 	var w Watch
 	w.Note(after(time.Second), "a", 1, Broken)
-	w.Alive(after(0), "a") // the answer to a request of before tells nothing
+	w.Alive(after(0), "a") // a response to a request sent earlier proves nothing
 	must.True(t, w.Unexplained("a"))
 	w.Alive(after(time.Second), "a")
 	must.False(t, w.Unexplained("a"))
@@ -46,21 +47,22 @@
 	must.Len(t, 0, fingerprints)
 }
 
-// A request whose caller has left may run on for a while and end the backend server.
-func TestRunThatItsCallerHasLeftIsEvidenceForAWhile(t *testing.T) {
-	for passed, want := range map[time.Duration]int{leftWindow / 2: 1, leftWindow: 0} {
+// A request that its caller has abandoned may continue to run for a limited time and
+// crash the backend server.
+func TestAbandonedRunIsEvidenceForALimitedTime(t *testing.T) {
+	for elapsed, want := range map[time.Duration]int{abandonedWindow / 2: 1, abandonedWindow: 0} {
 		var w Watch
 		w.Note(after(0), "a", 1, Left)
 		must.False(t, w.Unexplained("a"))
-		w.Alive(after(passed), "a")
-		_, fingerprints := w.Ended(after(passed), "a")
+		w.Alive(after(elapsed), "a")
+		_, fingerprints := w.Ended(after(elapsed), "a")
 		must.Len(t, want, fingerprints)
 	}
 }
 
-// A start of the backend server answers for its own end only, under whatever
-// identifier it comes.
-func TestEachStartHasItsOwnEvidence(t *testing.T) {
+// Only the runs of the instance that crashed are evidence of its crash. An instance
+// that restarts under the same identifier gets evidence and a crash of its own.
+func TestEachInstanceHasItsOwnEvidence(t *testing.T) {
 	var w Watch
 	w.Note(after(0), "a", 1, Broken)
 	w.Note(after(0), "b", 2, Broken)
@@ -69,7 +71,7 @@
 	first, fingerprints := w.Ended(after(0), "b")
 	must.Eq(t, []suspect.Fingerprint{2}, fingerprints)
 
-	_, known := w.Note(after(time.Second), "b", 3, Broken) // it has returned
+	_, known := w.Note(after(time.Second), "b", 3, Broken) // restarted under the same identifier
 	must.False(t, known)
 	second, fingerprints := w.Ended(after(time.Second), "b")
 	must.Eq(t, []suspect.Fingerprint{3}, fingerprints)
--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -1,37 +1,37 @@
-// Package registry decides which nodes write their address into the platform's
-// store, where nodes that start look for others.
+// Package registry decides which nodes register, that is, write their address to the
+// platform's store, from which starting nodes read the addresses of others.
 //
-// A node needs one address that answers, not all of them: membership tells it the
-// rest. So a few nodes of each availability zone register, and the store takes a
-// number of writes that doesn't grow with the fleet when all of it starts at once.
+// A starting node needs one address that responds, not all of them: it receives the
+// rest by the membership protocol. So only a few nodes of each availability zone
+// register, and the number of writes to the store when the whole fleet starts at once
+// doesn't grow with the fleet.
 package registry
 
 import "time"
 
-// Config holds the parameters.
+// Config holds the parameters of the decision.
 type Config struct {
-	// PerZone is the number of registered nodes from which further ones of the
-	// zone don't register.
+	// PerZone is the number of registered nodes of a zone at which further nodes of the
+	// zone no longer register, unless they are keepers or alone.
 	PerZone int
 	// MinPerZone is the number of registered nodes of the zone below which any node registers
 	// at once, so that others can find it. From there up to PerZone, nodes register by rank.
 	MinPerZone int
-	// RankAfter is how long a node waits before it registers by rank or as alone:
-	// until then it may not know the members of its zone.
+	// RankAfter is the time after its start before which a node doesn't register by
+	// rank or because it is alone: it may not have received the members of its zone yet.
 	RankAfter time.Duration
-	// Keepers is the number of live members of a zone, first in the order of keys,
-	// that register in any case: the registered ones may all be gone.
+	// Keepers is the number of live members of a zone, the first in the order of keys,
+	// that register even if PerZone nodes are registered: those may all have gone.
 	Keepers int
-	// KeepAfter is how long a node waits before it registers as a keeper: until
-	// then it may not know those before it.
+	// KeepAfter is the time after its start before which a node doesn't register as a
+	// keeper: it may not have received the members that precede it yet.
 	KeepAfter time.Duration
-	// Spread is the time over which the nodes of a site that starts for the first
-	// time look for each other, so that those who come later find the earlier ones
-	// registered.
+	// Spread is the time over which the nodes of a site that starts for the first time
+	// read the registered addresses, so that later nodes find earlier ones registered.
 	Spread time.Duration
 }
 
-// DefaultConfig returns parameters for sites of ten to some thousand hosts.
+// DefaultConfig returns the parameters for sites of ten to some thousand hosts.
 func DefaultConfig() Config {
 	return Config{
 		PerZone:    8,
@@ -43,28 +43,30 @@
 	}
 }
 
-// StartDelay returns when a node first looks for others after its start. first says
-// that the whole site starts for the first time; lot is a random number below 1.
-func (c Config) StartDelay(first bool, lot float64) time.Duration {
+// StartDelay returns the time between a node's start and its first read of the
+// registered addresses. first says that the whole site starts for the first time;
+// jitter is a random number in [0,1).
+func (c Config) StartDelay(first bool, jitter float64) time.Duration {
 	if !first {
 		return 0
 	}
-	return time.Duration(lot * float64(c.Spread))
+	return time.Duration(jitter * float64(c.Spread))
 }
 
-// View is what a node knows when it decides.
+// View is the state of a node on which it bases its decision.
 type View struct {
-	// Listed is the number of registered nodes of the own zone, live or not.
+	// Listed is the number of registered nodes of the node's zone, live or not.
 	Listed int
-	// Rank is the node's place among the live members of its zone.
+	// Rank is the node's position among the live members of its zone, in the order of
+	// keys, counted from 0.
 	Rank int
 	// Age is the time since the node's start.
 	Age time.Duration
-	// Alone says that the node has found nobody.
+	// Alone says that the node has no peer.
 	Alone bool
 }
 
-// Register reports whether the node writes its address.
+// Register reports whether a node with this view registers its address.
 func (c Config) Register(v View) bool {
 	switch {
 	case v.Listed < c.MinPerZone, v.Alone && v.Age >= c.RankAfter:
--- a/coordination/restore/restore.go
+++ b/coordination/restore/restore.go
@@ -1,9 +1,11 @@
-// Package restore follows the lives of the platform's store, which may come back from an
-// older copy of itself: what it had taken since is gone then. It tells the other cores, and
-// when it is this node's turn to write again what only this node knows.
+// Package restore detects when the platform's store has been restored from an older copy,
+// which loses the writes accepted since that copy. It reports the restore to the other cores
+// and schedules this node's rewrite of its own rows, those that only this node can supply.
 //
-// A node that reads the store learns of a new life from its answers, and the others from
-// the beacons of their zone's readers. A store that doesn't tell its lives leads to nothing.
+// The time between two restores is an epoch of the store, numbered in increasing order. A
+// node that reads the store gets the epoch from the store's responses, and other nodes from
+// the beacons of their zone's readers. With a store that doesn't report its epoch, the core
+// does nothing.
 //
 // The core is a pure state machine in the sense of coordination/core.
 package restore
@@ -16,31 +18,33 @@
 	"github.com/jacinthgate/jacinthgate/protocol/message"
 )
 
-// Config holds the parameters.
+// Config holds the parameters of a Core.
 type Config struct {
-	// Spread is the time over which the nodes of a zone write again, in the order of their
-	// ranks: none of it is urgent, and the store has just come back.
+	// Spread is the time over which the nodes of a zone rewrite their own rows, in the order
+	// of their ranks. The rows aren't urgent, and the store has only just returned to service.
 	Spread time.Duration
 }
 
-// DefaultConfig returns the parameters.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config { return Config{Spread: 800 * time.Millisecond} }
 
-// Told reports the life that an answer of the store belongs to; 0 is not told.
+// Told is the event that the store has responded in an epoch; 0 if it doesn't report its
+// epoch.
 type Told struct{ Life uint64 }
 
-// Placed reports the node's place among the live members of its zone.
+// Placed is the event that the node's rank among the live members of its zone, counted from
+// 0, or their number Live may have changed.
 type Placed struct{ Rank, Live int }
 
-// Restored reports that the store has come back from an older copy. It is an action of this
-// core, which the driver gives to the others as an event.
+// Restored reports that the store has been restored from an older copy. It is an action of
+// this core, which the driver passes to the other cores as an event.
 type Restored struct {
-	// Life is the store's present one.
+	// Life is the store's new epoch.
 	Life uint64
 }
 
-// WriteAgain asks for the node's own rows to be written again, once. A later one replaces
-// one that isn't carried out yet.
+// WriteAgain is the action to rewrite the node's own rows once, in the given epoch. It
+// replaces an earlier one that isn't completed yet.
 type WriteAgain struct{ Life uint64 }
 
 // Event implements core.Event.
@@ -63,19 +67,20 @@
 type Core struct {
 	cfg        Config
 	rng        *rand.Rand
-	life       uint64
+	epoch      uint64
 	rank, live int
-	// due is when the own rows are written again; zero where they needn't be.
+	// due is the time at which to rewrite the own rows; zero if no rewrite is pending.
 	due time.Time
 }
 
-// New returns the core of a node that knows nothing of the store.
+// New returns the core of a node without a known epoch of the store, as the only live
+// member of its zone. The seed is that of the jitter of the rewrite time.
 func New(cfg Config, seed uint64) *Core {
 	return &Core{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)), live: 1}
 }
 
-// Life returns the store's newest life known; 0 for none.
-func (c *Core) Life() uint64 { return c.life }
+// Life returns the newest known epoch of the store; 0 if none is known.
+func (c *Core) Life() uint64 { return c.epoch }
 
 // Step takes one event and returns the actions it leads to.
 func (c *Core) Step(now time.Time, ev core.Event) []core.Action {
@@ -83,31 +88,32 @@
 	case core.Tick:
 		if !c.due.IsZero() && !now.Before(c.due) {
 			c.due = time.Time{}
-			return []core.Action{WriteAgain{Life: c.life}}
+			return []core.Action{WriteAgain{Life: c.epoch}}
 		}
 	case Placed:
 		c.rank, c.live = ev.Rank, max(1, ev.Live)
 	case Told:
-		return c.told(now, ev.Life)
+		return c.observe(now, ev.Life)
 	case core.Received:
 		if m, ok := ev.Message.(*message.ReaderBeacon); ok {
-			return c.told(now, m.Life)
+			return c.observe(now, m.Life)
 		}
 	}
 	return nil
 }
 
-// told takes a life. The first one that is known isn't a new one.
-func (c *Core) told(now time.Time, life uint64) []core.Action {
-	if life <= c.life {
+// observe processes an observed epoch. A higher one than before means that the store was
+// restored, except for the first one that this node observes.
+func (c *Core) observe(now time.Time, epoch uint64) []core.Action {
+	if epoch <= c.epoch {
 		return nil
 	}
-	first := c.life == 0
-	c.life = life
+	first := c.epoch == 0
+	c.epoch = epoch
 	if first {
 		return nil
 	}
 	step := float64(c.cfg.Spread) / float64(c.live)
 	c.due = now.Add(time.Duration(step * (float64(c.rank) + c.rng.Float64())))
-	return []core.Action{Restored{Life: life}}
+	return []core.Action{Restored{Life: epoch}}
 }
--- a/coordination/restore/restore_test.go
+++ b/coordination/restore/restore_test.go
@@ -12,11 +12,12 @@
 
 var begin = time.Unix(1_000_000, 0)
 
-// tick is the time between two ticks of these tests.
+// tick is the interval between two ticks in these tests.
 const tick = 10 * time.Millisecond
 
-// again returns when a core asks for the own rows, from begin on, within a time.
-func again(c *Core, within time.Duration) []time.Duration {
+// rewrites returns the times, relative to begin, at which a core requests a rewrite of the own
+// rows, up to the given time.
+func rewrites(c *Core, within time.Duration) []time.Duration {
 	var at []time.Duration
 	for d := time.Duration(0); d <= within; d += tick {
 		for range c.Step(begin.Add(d), core.Tick{}) {
@@ -26,41 +27,42 @@
 	return at
 }
 
-func TestFirstLifeIsNoRestore(t *testing.T) {
+func TestFirstEpochIsNoRestore(t *testing.T) {
 	c := New(DefaultConfig(), 1)
 	must.SliceEmpty(t, c.Step(begin, Told{Life: 7}))
 	must.SliceEmpty(t, c.Step(begin, Told{Life: 7}))
 	must.SliceEmpty(t, c.Step(begin, Told{Life: 6}))
-	must.SliceEmpty(t, again(c, 5*time.Second))
+	must.SliceEmpty(t, rewrites(c, 5*time.Second))
 }
 
-func TestNothingHappensWhereNoLifeIsTold(t *testing.T) {
+func TestStoreWithoutEpochCausesNoAction(t *testing.T) {
 	c := New(DefaultConfig(), 1)
 	for range 5 {
 		must.SliceEmpty(t, c.Step(begin, Told{}))
 		must.SliceEmpty(t, c.Step(begin, core.Received{From: "a", Message: &message.ReaderBeacon{Reader: "a"}}))
 	}
-	must.SliceEmpty(t, again(c, 5*time.Second))
+	must.SliceEmpty(t, rewrites(c, 5*time.Second))
 }
 
-// A node that doesn't read the store itself learns of the restore from a beacon, and of each
-// restore once.
-func TestEachRestoreIsToldOnce(t *testing.T) {
+// A node that doesn't read the store itself detects a restore by a beacon. It must report each
+// restore once, whatever the source.
+func TestEachRestoreIsReportedOnce(t *testing.T) {
 	c := New(DefaultConfig(), 1)
-	beacon := func(life uint64) core.Event {
-		return core.Received{From: "a", Message: &message.ReaderBeacon{Reader: "a", Life: life}}
+	beacon := func(epoch uint64) core.Event {
+		return core.Received{From: "a", Message: &message.ReaderBeacon{Reader: "a", Life: epoch}}
 	}
 	must.SliceEmpty(t, c.Step(begin, Told{Life: 2}))
 	must.Eq(t, []core.Action{Restored{Life: 3}}, c.Step(begin, beacon(3)))
 	must.SliceEmpty(t, c.Step(begin, beacon(3)))
 	must.SliceEmpty(t, c.Step(begin, Told{Life: 3}))
 	must.Eq(t, []core.Action{Restored{Life: 4}}, c.Step(begin, Told{Life: 4}))
-	must.Len(t, 1, again(c, 5*time.Second), must.Sprint("both restores lead to one write"))
-	must.SliceEmpty(t, again(c, 5*time.Second))
+	must.Len(t, 1, rewrites(c, 5*time.Second), must.Sprint("both restores lead to one rewrite"))
+	must.SliceEmpty(t, rewrites(c, 5*time.Second))
 }
 
-// However many nodes a zone has, their writes are spread over the same time.
-func TestNodesWriteOneAfterTheOther(t *testing.T) {
+// The rewrites of a zone's nodes are spread evenly over Config.Spread, however many nodes the
+// zone has.
+func TestRewritesAreSpreadEvenly(t *testing.T) {
 	for _, live := range []int{1, 62, 860} {
 		perTenth := make(map[time.Duration]int)
 		for rank := range live {
@@ -68,7 +70,7 @@
 			c.Step(begin, Placed{Rank: rank, Live: live})
 			c.Step(begin, Told{Life: 1})
 			c.Step(begin, Told{Life: 2})
-			at := again(c, DefaultConfig().Spread+tick)
+			at := rewrites(c, DefaultConfig().Spread+tick)
 			must.Len(t, 1, at)
 			perTenth[at[0]/(DefaultConfig().Spread/10)]++
 		}
