--- a/coordination/collect/collect.go
+++ b/coordination/collect/collect.go
@@ -81,10 +81,10 @@
 	return head
 }
 
-// Objects returns the keys, out of the given ones, of the objects that may be
+// RemovableObjects returns the keys, out of the given ones, of the objects that may be
 // removed. It keeps keys that don't belong to a version, and all versions after
 // the head, as one of them may be about to be accepted.
-func (c *Collector) Objects(now time.Time, keys []string) []string {
+func (c *Collector) RemovableObjects(now time.Time, keys []string) []string {
 	head := c.settledHead(now)
 	var removable []string
 	for _, key := range keys {
@@ -96,8 +96,8 @@
 	return removable
 }
 
-// Record reports whether the record of a change that was accepted in the given
+// RecordRemovable reports whether the record of a change that was accepted in the given
 // version may be removed.
-func (c *Collector) Record(now time.Time, version uint64) bool {
+func (c *Collector) RecordRemovable(now time.Time, version uint64) bool {
 	return version+c.cfg.KeepRecords <= c.settledHead(now)
 }
--- a/coordination/core/core.go
+++ b/coordination/core/core.go
@@ -46,10 +46,10 @@
 	// LastHeld is the newest version that, by the peer's record, this node has held;
 	// 0 if the peer has recorded none.
 	LastHeld uint64
-	// Answered says that LastHeld refers to this node, so that 0 means that the peer
+	// LastHeldValid says that LastHeld refers to this node, so that 0 means that the peer
 	// has recorded no version: it came in a Welcome, or in a Hello addressed to this
 	// node by name.
-	Answered bool
+	LastHeldValid bool
 	// Welcomed is set on the side that dialled. Only then are Incarnation, Drained
 	// and DrainedInstance set, from the peer's Welcome.
 	Welcomed bool
--- a/coordination/distribute/network_test.go
+++ b/coordination/distribute/network_test.go
@@ -207,7 +207,7 @@
 		if peer := n.nodes[l[1-k]]; n.connected(l) {
 			n.push(time.Duration(1+n.rng.IntN(3))*time.Millisecond, me, core.PeerUp{
 				Record: n.record(l[1-k]), Held: peer.core.Held().Ref(), Ready: peer.core.Ready(),
-				Welcomed: true, Answered: true, LastHeld: peer.core.LastHeldOf(n.nodes[me].id),
+				Welcomed: true, LastHeldValid: true, LastHeld: peer.core.LastHeldOf(n.nodes[me].id),
 			})
 			n.nodes[me].rememberedVersion = max(n.nodes[me].rememberedVersion, peer.core.LastHeldOf(n.nodes[me].id))
 		}
--- a/coordination/distribute/peers.go
+++ b/coordination/distribute/peers.go
@@ -63,7 +63,7 @@
 func (c *Core) peerUp(now time.Time, e core.PeerUp) {
 	id := e.Record.Node
 	p := &peer{
-		record: e.Record, held: e.Held, knownHead: e.Held, ready: e.Ready, answered: e.Answered, advertisedReady: c.ready,
+		record: e.Record, held: e.Held, knownHead: e.Held, ready: e.Ready, answered: e.LastHeldValid, advertisedReady: c.ready,
 		statuses: make(map[model.Zone]floodStamp),
 	}
 	if c.peers[id] == nil {
--- a/coordination/distribute/rules_test.go
+++ b/coordination/distribute/rules_test.go
@@ -62,7 +62,7 @@
 // connectPeer connects a peer in the same zone that has answered with lastHeld.
 func (s *singleCore) connectPeer(d time.Duration, id model.NodeID, held snapshot.Ref, ready bool, lastHeld uint64) {
 	r := endpoint.Record{Node: id, Zone: "zone-0"}
-	s.step(d, core.PeerUp{Record: r, Held: held, Ready: ready, Answered: true, LastHeld: lastHeld})
+	s.step(d, core.PeerUp{Record: r, Held: held, Ready: ready, LastHeldValid: true, LastHeld: lastHeld})
 }
 
 func (s *singleCore) receive(d time.Duration, from model.NodeID, m message.Message) {
--- a/coordination/evacuation/core.go
+++ b/coordination/evacuation/core.go
@@ -158,7 +158,7 @@
 			c.merge("", e.order)
 		}
 	}
-	if to, due := c.peers.Compare(c.now); due {
+	if to, due := c.peers.ComparisonDue(c.now); due {
 		c.send(to, c.table.All())
 	}
 }
--- a/coordination/peerset/peerset.go
+++ b/coordination/peerset/peerset.go
@@ -40,9 +40,9 @@
 // All returns the peers in the order of their identifiers.
 func (s *Set) All() []model.NodeID { return slices.Sorted(maps.Keys(s.ids)) }
 
-// Compare returns a random peer to compare the state with if a comparison is due, and
+// ComparisonDue returns a random peer to compare the state with if a comparison is due, and
 // schedules the next one. It reports false if none is due or no peer is connected.
-func (s *Set) Compare(now time.Time) (model.NodeID, bool) {
+func (s *Set) ComparisonDue(now time.Time) (model.NodeID, bool) {
 	if now.Before(s.compareAt) {
 		return "", false
 	}
--- a/coordination/quarantine/core.go
+++ b/coordination/quarantine/core.go
@@ -25,7 +25,7 @@
 // Core is the state machine of one node that replicates the evidence among all nodes.
 // It floods new entries and compares digests with a random peer (anti-entropy) to
 // repair losses. It takes core.Tick, core.PeerUp, core.PeerDown, core.Received, Crashed,
-// Succeeded and Learned. It is not safe for concurrent use.
+// Succeeded and Loaded. It is not safe for concurrent use.
 type Core struct {
 	now   time.Time
 	out   []core.Action
@@ -93,7 +93,7 @@
 		c.crashed(ev)
 	case Succeeded:
 		c.succeeded(ev.Fingerprint)
-	case Learned:
+	case Loaded:
 		c.merge("", ev.Entries)
 	}
 }
@@ -181,7 +181,7 @@
 // sendDigest sends the digest to a random peer if a comparison is due. A node without
 // evidence sends none: the comparisons of nodes that hold evidence cover it.
 func (c *Core) sendDigest() {
-	to, due := c.peers.Compare(c.now)
+	to, due := c.peers.ComparisonDue(c.now)
 	if !due || c.table.Len() == 0 {
 		return
 	}
--- a/coordination/quarantine/core_test.go
+++ b/coordination/quarantine/core_test.go
@@ -249,7 +249,7 @@
 func TestQuarantineIsLoadedFromTheStore(t *testing.T) {
 	w := newNetwork(t, 6)
 	const crashing = 7
-	w.step(node(2), Learned{Entries: []suspect.Entry{suspect.Stored(crashing, w.now.Add(-time.Hour))}})
+	w.step(node(2), Loaded{Entries: []suspect.Entry{suspect.Stored(crashing, w.now.Add(-time.Hour))}})
 	w.run(200 * time.Millisecond)
 	must.Eq(t, 6, w.quarantined(crashing))
 	for _, reported := range w.reported {
--- a/coordination/quarantine/event.go
+++ b/coordination/quarantine/event.go
@@ -14,9 +14,9 @@
 	Fingerprint suspect.Fingerprint
 }
 
-// Learned is the event that the quarantines recorded in the platform's store
+// Loaded is the event that the quarantines recorded in the platform's store
 // have been read.
-type Learned struct {
+type Loaded struct {
 	Entries []suspect.Entry
 }
 
@@ -27,7 +27,7 @@
 func (Succeeded) Event() {}
 
 // Event implements core.Event.
-func (Learned) Event() {}
+func (Loaded) Event() {}
 
 // Changed is the action to publish the view that Core.View returns, which has changed.
 type Changed struct{}
--- a/coordination/quarantine/watch.go
+++ b/coordination/quarantine/watch.go
@@ -25,24 +25,24 @@
 	stragglerWindow = 50 * time.Millisecond
 )
 
-// Cut is the reason why a run, the execution of a request by the backend server, ended
-// without a response.
-type Cut uint8
+// EndReason is the reason why a run, the execution of a request by the backend server,
+// ended without a response.
+type EndReason uint8
 
 // The reasons.
 const (
-	// Broken means that the backend server closed the connection during the run.
-	Broken Cut = iota
-	// Left means that the caller, or this node, abandoned the run. The backend server
-	// may continue it for a short time.
-	Left
+	// ConnectionLost means that the backend server closed the connection during the run.
+	ConnectionLost EndReason = iota
+	// Abandoned means that the caller, or this node, stopped waiting for the response.
+	// The backend server may continue the run for a short time.
+	Abandoned
 )
 
 // unansweredRun is a run that ended without a response.
 type unansweredRun struct {
 	fingerprint suspect.Fingerprint
 	at          time.Time
-	cut         Cut
+	reason      EndReason
 }
 
 // Watch determines which requests were in flight when the host's backend server
@@ -62,21 +62,21 @@
 	crashedAt time.Time
 }
 
-// Note records a run that ended without a response at now. If the run is attributed to
-// a crash that was already found, it returns that crash, and known is true. It ignores
-// a run with fingerprint 0.
-func (w *Watch) Note(now time.Time, instance string, f suspect.Fingerprint, cut Cut) (crash suspect.Crash, known bool) {
+// RecordUnanswered records a run that ended without a response at now. If the run is
+// attributed to a crash that was already found, it returns that crash, and known is
+// true. It ignores a run with fingerprint 0.
+func (w *Watch) RecordUnanswered(now time.Time, instance string, f suspect.Fingerprint, reason EndReason) (crash suspect.Crash, known bool) {
 	if f == 0 {
 		return suspect.Crash{}, false
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if cut == Broken && instance == w.crashed && now.Sub(w.crashedAt) < stragglerWindow {
+	if reason == ConnectionLost && instance == w.crashed && now.Sub(w.crashedAt) < stragglerWindow {
 		return w.crash, true
 	}
 	w.switchTo(instance)
 	if len(w.unanswered) < maxUnanswered {
-		w.unanswered = append(w.unanswered, unansweredRun{fingerprint: f, at: now, cut: cut})
+		w.unanswered = append(w.unanswered, unansweredRun{fingerprint: f, at: now, reason: reason})
 	}
 	return suspect.Crash{}, false
 }
@@ -101,7 +101,7 @@
 	kept := w.unanswered[:0]
 	for _, o := range w.unanswered {
 		suspectUntil := o.at
-		if o.cut == Left {
+		if o.reason == Abandoned {
 			suspectUntil = o.at.Add(abandonedWindow)
 		}
 		if suspectUntil.After(since) {
@@ -140,5 +140,5 @@
 func (w *Watch) Unexplained(instance string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.instance == instance && slices.ContainsFunc(w.unanswered, func(o unansweredRun) bool { return o.cut == Broken })
+	return w.instance == instance && slices.ContainsFunc(w.unanswered, func(o unansweredRun) bool { return o.reason == ConnectionLost })
 }
--- a/coordination/quarantine/watch_test.go
+++ b/coordination/quarantine/watch_test.go
@@ -19,7 +19,7 @@
 func TestConnectionsLostBeforeACrashAreItsEvidence(t *testing.T) {
 	var w Watch
 	for f := range suspect.Fingerprint(3) {
-		_, known := w.Note(after(0), "a", f+1, Broken)
+		_, known := w.RecordUnanswered(after(0), "a", f+1, ConnectionLost)
 		must.False(t, known)
 	}
 	must.True(t, w.Unexplained("a"))
@@ -30,7 +30,7 @@
 	_, again := w.Ended(after(2*time.Millisecond), "a")
 	must.Len(t, 0, again)
 
-	late, known := w.Note(after(10*time.Millisecond), "a", 4, Broken)
+	late, known := w.RecordUnanswered(after(10*time.Millisecond), "a", 4, ConnectionLost)
 	must.True(t, known, must.Sprint("its goroutine noticed the loss late"))
 	must.Eq(t, crash, late)
 }
@@ -38,7 +38,7 @@
 // A lost response closes one connection while the backend server continues to run.
 func TestSingleLostConnectionIsNoCrash(t *testing.T) {
 	var w Watch
-	w.Note(after(time.Second), "a", 1, Broken)
+	w.RecordUnanswered(after(time.Second), "a", 1, ConnectionLost)
 	w.Alive(after(0), "a") // a response to a request sent earlier proves nothing
 	must.True(t, w.Unexplained("a"))
 	w.Alive(after(time.Second), "a")
@@ -52,7 +52,7 @@
 func TestAbandonedRunIsEvidenceForALimitedTime(t *testing.T) {
 	for elapsed, want := range map[time.Duration]int{abandonedWindow / 2: 1, abandonedWindow: 0} {
 		var w Watch
-		w.Note(after(0), "a", 1, Left)
+		w.RecordUnanswered(after(0), "a", 1, Abandoned)
 		must.False(t, w.Unexplained("a"))
 		w.Alive(after(elapsed), "a")
 		_, fingerprints := w.Ended(after(elapsed), "a")
@@ -64,14 +64,14 @@
 // that restarts under the same identifier gets evidence and a crash of its own.
 func TestEachInstanceHasItsOwnEvidence(t *testing.T) {
 	var w Watch
-	w.Note(after(0), "a", 1, Broken)
-	w.Note(after(0), "b", 2, Broken)
+	w.RecordUnanswered(after(0), "a", 1, ConnectionLost)
+	w.RecordUnanswered(after(0), "b", 2, ConnectionLost)
 	_, fingerprints := w.Ended(after(0), "a")
 	must.Len(t, 0, fingerprints)
 	first, fingerprints := w.Ended(after(0), "b")
 	must.Eq(t, []suspect.Fingerprint{2}, fingerprints)
 
-	_, known := w.Note(after(time.Second), "b", 3, Broken) // restarted under the same identifier
+	_, known := w.RecordUnanswered(after(time.Second), "b", 3, ConnectionLost) // restarted under the same identifier
 	must.False(t, known)
 	second, fingerprints := w.Ended(after(time.Second), "b")
 	must.Eq(t, []suspect.Fingerprint{3}, fingerprints)
@@ -80,7 +80,7 @@
 
 func TestRequestWithoutFingerprintIsNoEvidence(t *testing.T) {
 	var w Watch
-	w.Note(after(0), "a", 0, Broken)
+	w.RecordUnanswered(after(0), "a", 0, ConnectionLost)
 	_, fingerprints := w.Ended(after(0), "a")
 	must.Len(t, 0, fingerprints)
 }
--- a/coordination/restore/restore.go
+++ b/coordination/restore/restore.go
@@ -28,30 +28,30 @@
 // DefaultConfig returns the default parameters.
 func DefaultConfig() Config { return Config{Spread: 800 * time.Millisecond} }
 
-// Told is the event that the store has responded in an epoch; 0 if it doesn't report its
+// EpochSeen is the event that the store has responded in an epoch; 0 if it doesn't report its
 // epoch.
-type Told struct{ Life uint64 }
+type EpochSeen struct{ Epoch uint64 }
 
-// Placed is the event that the node's rank among the live members of its zone, counted from
+// RankChanged is the event that the node's rank among the live members of its zone, counted from
 // 0, or their number Live may have changed.
-type Placed struct{ Rank, Live int }
+type RankChanged struct{ Rank, Live int }
 
 // Restored reports that the store has been restored from an older copy. It is an action of
 // this core, which the driver passes to the other cores as an event.
 type Restored struct {
-	// Life is the store's new epoch.
-	Life uint64
+	// Epoch is the store's new epoch.
+	Epoch uint64
 }
 
-// WriteAgain is the action to rewrite the node's own rows once, in the given epoch. It
+// RewriteRows is the action to rewrite the node's own rows once, in the given epoch. It
 // replaces an earlier one that isn't completed yet.
-type WriteAgain struct{ Life uint64 }
+type RewriteRows struct{ Epoch uint64 }
 
 // Event implements core.Event.
-func (Told) Event() {}
+func (EpochSeen) Event() {}
 
 // Event implements core.Event.
-func (Placed) Event() {}
+func (RankChanged) Event() {}
 
 // Event implements core.Event.
 func (Restored) Event() {}
@@ -60,10 +60,10 @@
 func (Restored) Action() {}
 
 // Action implements core.Action.
-func (WriteAgain) Action() {}
+func (RewriteRows) Action() {}
 
-// Core is the state machine of one node. It takes core.Tick, core.Received, Told and
-// Placed. It is not safe for concurrent use.
+// Core is the state machine of one node. It takes core.Tick, core.Received,
+// EpochSeen and RankChanged. It is not safe for concurrent use.
 type Core struct {
 	cfg        Config
 	rng        *rand.Rand
@@ -79,8 +79,8 @@
 	return &Core{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0)), live: 1}
 }
 
-// Life returns the newest known epoch of the store; 0 if none is known.
-func (c *Core) Life() uint64 { return c.epoch }
+// Epoch returns the newest known epoch of the store; 0 if none is known.
+func (c *Core) Epoch() uint64 { return c.epoch }
 
 // Step takes one event and returns the actions it leads to.
 func (c *Core) Step(now time.Time, ev core.Event) []core.Action {
@@ -88,12 +88,12 @@
 	case core.Tick:
 		if !c.due.IsZero() && !now.Before(c.due) {
 			c.due = time.Time{}
-			return []core.Action{WriteAgain{Life: c.epoch}}
+			return []core.Action{RewriteRows{Epoch: c.epoch}}
 		}
-	case Placed:
+	case RankChanged:
 		c.rank, c.live = ev.Rank, max(1, ev.Live)
-	case Told:
-		return c.observe(now, ev.Life)
+	case EpochSeen:
+		return c.observe(now, ev.Epoch)
 	case core.Received:
 		if m, ok := ev.Message.(*message.ReaderBeacon); ok {
 			return c.observe(now, m.Life)
@@ -115,5 +115,5 @@
 	}
 	step := float64(c.cfg.Spread) / float64(c.live)
 	c.due = now.Add(time.Duration(step * (float64(c.rank) + c.rng.Float64())))
-	return []core.Action{Restored{Life: epoch}}
+	return []core.Action{Restored{Epoch: epoch}}
 }
--- a/coordination/restore/restore_test.go
+++ b/coordination/restore/restore_test.go
@@ -29,16 +29,16 @@
 
 func TestFirstEpochIsNoRestore(t *testing.T) {
 	c := New(DefaultConfig(), 1)
-	must.SliceEmpty(t, c.Step(begin, Told{Life: 7}))
-	must.SliceEmpty(t, c.Step(begin, Told{Life: 7}))
-	must.SliceEmpty(t, c.Step(begin, Told{Life: 6}))
+	must.SliceEmpty(t, c.Step(begin, EpochSeen{Epoch: 7}))
+	must.SliceEmpty(t, c.Step(begin, EpochSeen{Epoch: 7}))
+	must.SliceEmpty(t, c.Step(begin, EpochSeen{Epoch: 6}))
 	must.SliceEmpty(t, rewrites(c, 5*time.Second))
 }
 
 func TestStoreWithoutEpochCausesNoAction(t *testing.T) {
 	c := New(DefaultConfig(), 1)
 	for range 5 {
-		must.SliceEmpty(t, c.Step(begin, Told{}))
+		must.SliceEmpty(t, c.Step(begin, EpochSeen{}))
 		must.SliceEmpty(t, c.Step(begin, core.Received{From: "a", Message: &message.ReaderBeacon{Reader: "a"}}))
 	}
 	must.SliceEmpty(t, rewrites(c, 5*time.Second))
@@ -51,11 +51,11 @@
 	beacon := func(epoch uint64) core.Event {
 		return core.Received{From: "a", Message: &message.ReaderBeacon{Reader: "a", Life: epoch}}
 	}
-	must.SliceEmpty(t, c.Step(begin, Told{Life: 2}))
-	must.Eq(t, []core.Action{Restored{Life: 3}}, c.Step(begin, beacon(3)))
+	must.SliceEmpty(t, c.Step(begin, EpochSeen{Epoch: 2}))
+	must.Eq(t, []core.Action{Restored{Epoch: 3}}, c.Step(begin, beacon(3)))
 	must.SliceEmpty(t, c.Step(begin, beacon(3)))
-	must.SliceEmpty(t, c.Step(begin, Told{Life: 3}))
-	must.Eq(t, []core.Action{Restored{Life: 4}}, c.Step(begin, Told{Life: 4}))
+	must.SliceEmpty(t, c.Step(begin, EpochSeen{Epoch: 3}))
+	must.Eq(t, []core.Action{Restored{Epoch: 4}}, c.Step(begin, EpochSeen{Epoch: 4}))
 	must.Len(t, 1, rewrites(c, 5*time.Second), must.Sprint("both restores lead to one rewrite"))
 	must.SliceEmpty(t, rewrites(c, 5*time.Second))
 }
@@ -67,9 +67,9 @@
 		perTenth := make(map[time.Duration]int)
 		for rank := range live {
 			c := New(DefaultConfig(), uint64(rank))
-			c.Step(begin, Placed{Rank: rank, Live: live})
-			c.Step(begin, Told{Life: 1})
-			c.Step(begin, Told{Life: 2})
+			c.Step(begin, RankChanged{Rank: rank, Live: live})
+			c.Step(begin, EpochSeen{Epoch: 1})
+			c.Step(begin, EpochSeen{Epoch: 2})
 			at := rewrites(c, DefaultConfig().Spread+tick)
 			must.Len(t, 1, at)
 			perTenth[at[0]/(DefaultConfig().Spread/10)]++
--- a/coordination/rollout/core.go
+++ b/coordination/rollout/core.go
@@ -113,7 +113,7 @@
 	case core.Received:
 		c.received(ev.From, ev.Message)
 	case restore.Restored:
-		c.restored(ev.Life)
+		c.restored(ev.Epoch)
 	case Ordered:
 		c.merge(rollout.Entry{Order: ev.Order}, false)
 	case Learned:
--- a/coordination/rollout/restored_test.go
+++ b/coordination/rollout/restored_test.go
@@ -25,7 +25,7 @@
 		f.store.held, f.store.revision = &copied, store.InLife(secondEpoch, 1)
 	}
 	for _, i := range nodes {
-		f.step(i, restore.Restored{Life: secondEpoch})
+		f.step(i, restore.Restored{Epoch: secondEpoch})
 	}
 	f.deliver()
 }
--- a/coordination/rollout/sharing.go
+++ b/coordination/rollout/sharing.go
@@ -53,7 +53,7 @@
 // sendDigest sends the table's digest to a random peer when the next anti-entropy exchange is
 // due.
 func (c *Core) sendDigest() {
-	to, due := c.peers.Compare(c.now)
+	to, due := c.peers.ComparisonDue(c.now)
 	if !due {
 		return
 	}
--- a/internal/control/collector.go
+++ b/internal/control/collector.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return 0, err
 	}
-	old := c.core.Objects(now, keys)
+	old := c.core.RemovableObjects(now, keys)
 	for i, key := range old {
 		if err := c.objects.Delete(ctx, key); err != nil {
 			return i, err
@@ -90,7 +90,7 @@
 
 // sweepRecords looks at the next page of records, in turn.
 func (c *Collector) sweepRecords(ctx context.Context, now time.Time) (int, error) {
-	if !c.core.Record(now, 1) {
+	if !c.core.RecordRemovable(now, 1) {
 		return 0, nil // not even the first one
 	}
 	items, err := c.table.List(ctx, accept.RecordPrefix, c.after, c.cfg.Page)
@@ -121,7 +121,7 @@
 	if err != nil {
 		return false, err
 	}
-	if !c.core.Record(now, record.Entry.Ref.Version) {
+	if !c.core.RecordRemovable(now, record.Entry.Ref.Version) {
 		return false, nil
 	}
 	_, err = c.table.Transact(ctx, []store.Write{{Key: it.Key, Delete: true, IfRevision: it.Revision}})
--- a/internal/sidecar/quarantine.go
+++ b/internal/sidecar/quarantine.go
@@ -70,7 +70,7 @@
 
 // learnQuarantines takes what the store knows.
 func (n *Node) learnQuarantines(ctx context.Context, nodes platform.Nodes) {
-	var known quarantine.Learned
+	var known quarantine.Loaded
 	for text, at := range nodes.Quarantined {
 		f, err := suspect.ParseFingerprint(text)
 		if err != nil {
--- a/internal/sidecar/restored.go
+++ b/internal/sidecar/restored.go
@@ -44,7 +44,7 @@
 
 // restored tells the other cores that the store has come back from an older copy.
 func (l *loop) restored(now time.Time, a restore.Restored) {
-	_ = level.Warn(l.log).Log("event", "store_restored", "life", a.Life)
+	_ = level.Warn(l.log).Log("event", "store_restored", "life", a.Epoch)
 	l.metrics.GetOrCreateCounter("jacinthgate_store_restored_total").Inc()
 	l.carryOut(now, l.rollouts.Step(now, a))
 }
@@ -52,16 +52,16 @@
 // meet tells a life of the store that its client knows.
 func (l *loop) meet(now time.Time, life uint64) {
 	l.prove(freshness.EpochSeen{Epoch: life})
-	l.carryOut(now, l.lives.Step(now, restore.Told{Life: life}))
+	l.carryOut(now, l.lives.Step(now, restore.EpochSeen{Epoch: life}))
 }
 
 // writeAgain hands on that the own rows are to be written; only the newest word counts.
-func (l *loop) writeAgain(a restore.WriteAgain) {
+func (l *loop) writeAgain(a restore.RewriteRows) {
 	select {
 	case <-l.rewrites:
 	default:
 	}
-	l.rewrites <- rewrite{life: a.Life, quarantined: l.suspects.Witnessed()}
+	l.rewrites <- rewrite{life: a.Epoch, quarantined: l.suspects.Witnessed()}
 }
 
 // recordOwn writes the own rows again whenever the store has come back, until ctx ends.
--- a/transport/crash/crash.go
+++ b/transport/crash/crash.go
@@ -130,11 +130,13 @@
 }
 
 // Left notes a run that its caller or this node has given up.
-func (o *Observer) Left(r Run) { o.watch.Note(o.cfg.Now(), r.Instance, r.Fingerprint, quarantine.Left) }
+func (o *Observer) Left(r Run) {
+	o.watch.RecordUnanswered(o.cfg.Now(), r.Instance, r.Fingerprint, quarantine.Abandoned)
+}
 
 // Broken notes a run that the backend server broke off.
 func (o *Observer) Broken(r Run) {
-	crash, known := o.watch.Note(o.cfg.Now(), r.Instance, r.Fingerprint, quarantine.Broken)
+	crash, known := o.watch.RecordUnanswered(o.cfg.Now(), r.Instance, r.Fingerprint, quarantine.ConnectionLost)
 	switch {
 	case known:
 		o.report(r.Instance, crash, []suspect.Fingerprint{r.Fingerprint})
--- a/transport/link/answered_test.go
+++ b/transport/link/answered_test.go
@@ -29,10 +29,10 @@
 			})
 			a.Connect(to, "b:1")
 			up := next[core.PeerUp](t, b)
-			must.Eq(t, to == "b", up.Answered)
+			must.Eq(t, to == "b", up.LastHeldValid)
 			must.Eq(t, 5, up.LastHeld)
 			must.False(t, up.Welcomed)
-			must.True(t, next[core.PeerUp](t, a).Answered)
+			must.True(t, next[core.PeerUp](t, a).LastHeldValid)
 		}
 	})
 }
--- a/transport/link/handshake.go
+++ b/transport/link/handshake.go
@@ -42,7 +42,7 @@
 	}
 	up := core.PeerUp{
 		Record: w.Record, Held: w.Held, Ready: w.Ready, Digest: w.Digest,
-		Welcomed: true, Answered: true, LastHeld: w.LastHeld, Incarnation: w.Incarnation, Drained: w.Drained,
+		Welcomed: true, LastHeldValid: true, LastHeld: w.LastHeld, Incarnation: w.Incarnation, Drained: w.Drained,
 		DrainedInstance: w.DrainedInstance,
 	}
 	return &link{conn: c, dialled: true, up: up}, nil
@@ -73,7 +73,7 @@
 	}
 	up := core.PeerUp{
 		Record: h.Record, Held: h.Held, Ready: h.Ready, Digest: h.Digest,
-		LastHeld: h.LastHeld, Answered: h.To == m.cfg.Node,
+		LastHeld: h.LastHeld, LastHeldValid: h.To == m.cfg.Node,
 	}
 	return &link{conn: c, up: up}, nil
 }
