--- a/coordination/claim/config.go
+++ b/coordination/claim/config.go
@@ -2,36 +2,39 @@
 
 import "time"
 
-// Config sets a Machine's limits.
+// Config holds the limits and delays of a Machine.
 type Config struct {
-	// MaxWrites bounds the tries to write the claim while the caller waits.
+	// MaxWrites bounds the attempts to write the claim while the caller waits.
 	MaxWrites int
 	// DispatchWithin is how long after its start a request may be sent. It
-	// must be far below RetainFor: an owner that was paused for longer must
-	// not send, since its record may have been collected meanwhile.
+	// must be far below RetainFor: an owner that resumes from a longer pause
+	// must not send, since its record may have been deleted meanwhile.
 	DispatchWithin time.Duration
-	// RunLimit is the longest time a request may run. A claim that is older
-	// will get no answer any more.
+	// RunLimit is the longest time that a request may run. An older claim
+	// without a response never gets one.
 	RunLimit time.Duration
-	// InProgressRetry is the Retry-After of a repeat while the first request
-	// runs.
+	// InProgressRetry is the Retry-After delay of a retry while the first
+	// request runs.
 	InProgressRetry time.Duration
-	// PlatformRetry is the Retry-After while the platform is away.
+	// PlatformRetry is the Retry-After delay while the table service is
+	// unavailable.
 	PlatformRetry time.Duration
-	// SettleRetry is the first wait between tries of background work; it
-	// doubles up to SettleRetryMax.
+	// SettleRetry is the first backoff of settling, the background work that
+	// writes the final record or releases the claim. It doubles up to
+	// SettleRetryMax.
 	SettleRetry time.Duration
-	// SettleRetryMax is the longest wait between tries of background work.
+	// SettleRetryMax bounds the backoff of settling.
 	SettleRetryMax time.Duration
 	// SettleFor is how long after its start a request may still write its
-	// record. It must be far below RetainFor.
+	// record. It must be far below RetainFor, so that the record has not been
+	// deleted and created anew for a later request.
 	SettleFor time.Duration
 	// RetainFor is how long a record is kept, and so how long a key is
-	// protected.
+	// protected against a second run.
 	RetainFor time.Duration
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default limits and delays.
 func DefaultConfig() Config {
 	return Config{
 		MaxWrites:       3,
--- a/coordination/claim/events.go
+++ b/coordination/claim/events.go
@@ -6,17 +6,17 @@
 	"github.com/jacinthgate/jacinthgate/protocol/outcome"
 )
 
-// Item is a record as it was read.
+// Item is the current state of the request's item in the table service.
 type Item struct {
 	// Revision is the item's revision; 0 means that there is no item.
 	Revision uint64
 	// Record is the content.
 	Record Record
-	// Corrupt says that the content could not be decoded.
+	// Corrupt is set when the content could not be decoded.
 	Corrupt bool
 }
 
-// Start begins the request.
+// Start starts the machine, which then writes the claim.
 type Start struct{}
 
 // Written reports that a Write took effect.
@@ -25,13 +25,14 @@
 	Revision uint64
 }
 
-// Conflict reports that a Write had no effect since its condition failed.
+// Conflict reports that a Write had no effect because its condition failed.
 type Conflict struct {
-	// Current is the item as it is.
+	// Current is the item that the condition was checked against.
 	Current Item
 }
 
-// WriteUnknown reports that a Write may have taken effect or may still do so.
+// WriteUnknown reports that a Write may have taken effect or may still take
+// effect.
 type WriteUnknown struct{}
 
 // WriteFailed reports that a Write certainly had no effect.
@@ -39,35 +40,35 @@
 
 // Loaded reports the result of a Read.
 type Loaded struct {
-	// Current is the item as it is.
+	// Current is the item that was read.
 	Current Item
 }
 
 // LoadFailed reports that a Read failed.
 type LoadFailed struct{}
 
-// Cancelled reports that the caller's deadline passed or that it went away
-// before the request was sent. The result of the outstanding Write or Read is
-// still reported.
+// Cancelled reports that the caller's deadline passed, or that the caller
+// disconnected, before the request was sent. The driver still reports the
+// result of the outstanding Write or Read.
 type Cancelled struct{}
 
-// Dispatch asks for leave to send the request to a backend server. It comes
-// right before each send.
+// Dispatch requests permission to send the request to a backend server. The
+// driver sends this event right before each send; Step returns Send or Refuse.
 type Dispatch struct{}
 
-// Answered reports the backend server's whole answer.
+// Answered reports the backend server's complete response.
 type Answered struct {
-	// Answer is what is kept for repeats.
+	// Answer is the response to keep for retries.
 	Answer Answer
 }
 
-// NotRun reports that no send of this request ran, for certain.
+// NotRun reports that the request certainly did not run at any backend server.
 type NotRun struct{}
 
-// Lost reports that the request may have run and that its answer is lost.
+// Lost reports that the request may have run and that its response is lost.
 type Lost struct{}
 
-// Retry reports that the time of a RetryLater has passed.
+// Retry reports that the delay of a RetryLater is over.
 type Retry struct{}
 
 // Event implements core.Event.
@@ -109,28 +110,31 @@
 // Event implements core.Event.
 func (Retry) Event() {}
 
-// Write asks for a conditional write of the request's item. The driver
-// answers with Written, Conflict, WriteUnknown or WriteFailed.
+// Write is a conditional write of the request's item. The driver reports its
+// result with Written, Conflict, WriteUnknown or WriteFailed.
 type Write struct {
 	// Record is the new content.
 	Record Record
-	// IfRevision is the revision that the item must have.
+	// IfRevision is the revision that the item must have; 0 means that the
+	// item must not exist.
 	IfRevision uint64
 }
 
-// Read asks for a consistent read of the request's item. The driver answers
-// with Loaded or LoadFailed.
+// Read is a consistent read of the request's item. The driver reports its
+// result with Loaded or LoadFailed.
 type Read struct{}
 
-// Proceed says that the request holds its key and may be sent.
+// Proceed reports that the request holds the claim on its key. The driver may
+// go on to Dispatch.
 type Proceed struct{}
 
-// Send says that the request may be sent now, once.
+// Send permits one send of the request, now.
 type Send struct{}
 
-// Replay answers the request with the answer of an earlier one.
+// Replay answers the request with the response to an earlier request with the
+// same key.
 type Replay struct {
-	// Answer is the earlier answer, whole.
+	// Answer is the complete earlier response.
 	Answer Answer
 }
 
@@ -138,21 +142,21 @@
 type Refuse struct {
 	// Outcome is NotRun or Unknown.
 	Outcome outcome.Outcome
-	// Reason says why.
+	// Reason is the reason for the refusal.
 	Reason outcome.Reason
-	// RetryAfter is when to come back with the same key; 0 means that coming
-	// back does not help.
+	// RetryAfter is the delay before a retry with the same key; 0 means that
+	// a retry does not help.
 	RetryAfter time.Duration
 }
 
-// RetryLater asks for a Retry event.
+// RetryLater requests a Retry event after a delay.
 type RetryLater struct {
-	// After is the time to wait; the driver adds jitter.
+	// After is the delay; the driver adds jitter.
 	After time.Duration
 }
 
-// GiveUp says that background work ended without effect: the key stays
-// claimed until it expires.
+// GiveUp reports that the machine stopped before it wrote the final record:
+// the key stays claimed until the record is deleted.
 type GiveUp struct{}
 
 // Action implements core.Action.
--- a/coordination/claim/machine.go
+++ b/coordination/claim/machine.go
@@ -8,49 +8,52 @@
 	"github.com/jacinthgate/jacinthgate/coordination/core"
 )
 
-// phase is what a Machine is doing.
+// phase is the state of a Machine.
 type phase uint8
 
 const (
 	phaseNew        phase = iota
 	phaseClaiming         // a claim is being written or read; the caller waits
-	phaseHeld             // the request holds its key
-	phaseFinishing        // the answer or the release is being written
-	phaseAbandoning       // a claim that may exist is being released
+	phaseHeld             // the request holds the claim on its key
+	phaseFinishing        // the response or the release is being written
+	phaseAbandoning       // the caller was refused; a claim that may exist is being released
 	phaseEnded
 )
 
-// Machine is the state machine of one request with an Idempotency-Key. At
-// most one Write or Read is outstanding at any time.
+// Machine is the state machine of one request with an Idempotency-Key: it
+// acquires the claim on the key, permits sends, and records the response or
+// releases the claim. At most one Write or Read is outstanding at any time.
 type Machine struct {
 	cfg    Config
 	record Record
 	phase  phase
 	// base is the revision that the last claim write was conditional on.
 	base uint64
-	// revision is that of the record held.
+	// revision is the item's revision once the claim is held.
 	revision uint64
 	// writes counts the claim writes.
 	writes int
-	// doubt is set once a claim write may have taken effect unseen.
-	doubt bool
-	// releasing is set while the outstanding write is a release.
+	// unconfirmed is set once a claim write has ended with WriteUnknown, so
+	// that the claim may exist.
+	unconfirmed bool
+	// releasing is set from the first write of a release on.
 	releasing bool
-	// wait is the next wait between tries.
-	wait time.Duration
+	// backoff is the next delay before a retry of background work.
+	backoff time.Duration
 }
 
 // New returns the machine of one request. The record names the attempt, the
-// owner and the fingerprint; State and Started are set by the machine.
+// owner and the fingerprint; the machine sets State and Started.
 func New(cfg Config, record Record) *Machine {
-	return &Machine{cfg: cfg, record: record, wait: cfg.SettleRetry}
+	return &Machine{cfg: cfg, record: record, backoff: cfg.SettleRetry}
 }
 
-// Ended reports that the machine wants no more events.
+// Ended reports whether the machine has finished and needs no more events.
 func (m *Machine) Ended() bool { return m.phase == phaseEnded }
 
-// Step takes one event and returns what to do. Events that don't fit the
-// machine's phase are ignored, except that Dispatch is always answered.
+// Step handles one event and returns the actions for the driver. It ignores
+// events that don't belong to the machine's phase; only Dispatch always
+// returns Send or Refuse.
 func (m *Machine) Step(now time.Time, ev core.Event) []core.Action {
 	switch ev.(type) {
 	case Dispatch:
@@ -76,20 +79,22 @@
 	return nil
 }
 
-// stale reports that the node was paused for so long, or that background work
-// has taken so long, that the record may soon be collected. From then on the
-// machine must not write: its revision could be that of a later record.
+// stale reports whether the claim is older than SettleFor, because the node
+// was paused or the background work took too long. The record may then soon be
+// deleted, so the machine must no longer write: the revision that it expects
+// could belong to a later record.
 func (m *Machine) stale(now time.Time) bool {
-	running := m.phase != phaseNew && m.phase != phaseEnded
-	return running && m.record.Expired(now, m.cfg.SettleFor)
+	active := m.phase != phaseNew && m.phase != phaseEnded
+	return active && m.record.Expired(now, m.cfg.SettleFor)
 }
 
-// expire ends a stale machine. The key stays as it is.
+// expire ends a stale machine and leaves the record as it is. It refuses a
+// caller that still waits.
 func (m *Machine) expire() []core.Action {
-	waiting := m.phase == phaseClaiming
+	callerWaits := m.phase == phaseClaiming
 	m.phase = phaseEnded
-	if waiting {
-		return actions(m.platformAway(), GiveUp{})
+	if callerWaits {
+		return actions(m.platformUnavailable(), GiveUp{})
 	}
 	return actions(GiveUp{})
 }
@@ -104,35 +109,39 @@
 	return m.writeClaim(0)
 }
 
-// writeClaim writes the claim over an item that holds nobody's claim.
+// writeClaim writes the claim on condition that the item's revision is base.
+// The item at base doesn't exist or holds a released record. After MaxWrites
+// writes, writeClaim refuses the caller instead.
 func (m *Machine) writeClaim(base uint64) []core.Action {
 	if m.writes >= m.cfg.MaxWrites {
-		return m.refuse(m.platformAway())
+		return m.refuse(m.platformUnavailable())
 	}
 	m.writes++
 	m.base = base
 	return actions(Write{Record: m.record, IfRevision: base})
 }
 
+// claiming handles the events of phaseClaiming.
 func (m *Machine) claiming(now time.Time, ev core.Event) []core.Action {
 	switch e := ev.(type) {
 	case Written:
-		return m.hold(e.Revision)
+		return m.acquired(e.Revision)
 	case Conflict:
-		return m.judge(now, e.Current)
+		return m.evaluate(now, e.Current)
 	case WriteUnknown:
-		m.doubt = true
+		m.unconfirmed = true
 		return actions(Read{})
 	case Loaded:
-		return m.judge(now, e.Current)
+		return m.evaluate(now, e.Current)
 	case WriteFailed, LoadFailed:
-		return m.refuse(m.platformAway())
+		return m.refuse(m.platformUnavailable())
 	}
 	return nil
 }
 
-// judge decides by the item that stands in the table.
-func (m *Machine) judge(now time.Time, it Item) []core.Action {
+// evaluate decides from the current item whether the request holds the claim,
+// writes its claim again, gets a replayed response or is refused.
+func (m *Machine) evaluate(now time.Time, it Item) []core.Action {
 	if it.Revision == 0 {
 		return m.writeClaim(0)
 	}
@@ -141,7 +150,7 @@
 	case it.Corrupt:
 		return m.end(Refuse{Outcome: outcome.Unknown, Reason: outcome.ReasonOutcomeLost})
 	case r.Attempt == m.record.Attempt:
-		return m.hold(it.Revision)
+		return m.acquired(it.Revision)
 	case r.State == StateReleased:
 		return m.writeClaim(it.Revision)
 	case !r.Fingerprint.Same(m.record.Fingerprint):
@@ -149,11 +158,13 @@
 	case r.State == StateDone:
 		return m.end(replay(r))
 	}
-	return m.end(m.running(now, r))
+	return m.end(m.refuseUnanswered(now, r))
 }
 
-// running answers a repeat whose first request has no known outcome.
-func (m *Machine) running(now time.Time, r Record) Refuse {
+// refuseUnanswered returns the refusal of a retry while the record holds no
+// response to the first request: that request is in progress, or, after
+// RunLimit, its outcome is lost.
+func (m *Machine) refuseUnanswered(now time.Time, r Record) Refuse {
 	if r.Expired(now, m.cfg.RunLimit) {
 		return Refuse{Outcome: outcome.Unknown, Reason: outcome.ReasonOutcomeLost}
 	}
@@ -164,7 +175,8 @@
 	}
 }
 
-// replay answers a repeat whose first request was answered.
+// replay returns the kept response to the first request, or a refusal if the
+// response was not kept.
 func replay(r Record) core.Action {
 	if r.Answer == nil || r.Answer.NotKept {
 		return Refuse{Outcome: outcome.Unknown, Reason: outcome.ReasonAnswerNotKept}
@@ -172,13 +184,15 @@
 	return Replay{Answer: *r.Answer}
 }
 
-func (m *Machine) hold(revision uint64) []core.Action {
+// acquired records that the request holds the claim at the given revision.
+func (m *Machine) acquired(revision uint64) []core.Action {
 	m.phase = phaseHeld
 	m.revision = revision
 	return actions(Proceed{})
 }
 
-func (m *Machine) platformAway() Refuse {
+// platformUnavailable returns the refusal for an unavailable table service.
+func (m *Machine) platformUnavailable() Refuse {
 	return Refuse{
 		Outcome:    outcome.NotRun,
 		Reason:     outcome.ReasonPlatform,
@@ -186,21 +200,24 @@
 	}
 }
 
-// refuse answers the caller and releases a claim that may exist unseen.
+// refuse refuses the caller. If an unconfirmed write may have created the
+// claim, the machine goes on to release it.
 func (m *Machine) refuse(r Refuse) []core.Action {
-	if !m.doubt {
+	if !m.unconfirmed {
 		return m.end(r)
 	}
 	m.phase = phaseAbandoning
-	return append(actions(r), m.later()...)
+	return append(actions(r), m.scheduleRetry()...)
 }
 
+// end ends the machine with a last action.
 func (m *Machine) end(last core.Action) []core.Action {
 	m.phase = phaseEnded
 	return actions(last)
 }
 
-// cancelled answers a caller that can't wait for its claim any longer.
+// cancelled refuses a caller that can't wait for its claim any longer. The
+// result of the outstanding Write or Read arrives in phaseAbandoning.
 func (m *Machine) cancelled() []core.Action {
 	if m.phase != phaseClaiming {
 		return nil
@@ -213,7 +230,8 @@
 	})
 }
 
-// dispatch gives leave to send while the claim is held and young.
+// dispatch permits a send while the request holds the claim and the claim is
+// not older than DispatchWithin.
 func (m *Machine) dispatch(now time.Time) []core.Action {
 	if m.phase == phaseHeld && !m.record.Expired(now, m.cfg.DispatchWithin) {
 		return actions(Send{})
--- a/coordination/claim/main_test.go
+++ b/coordination/claim/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property test, so that each run gives the
-// same verdict. The flag -rapid.seed sets another.
+// TestMain fixes the seed of the property test, so that every run has the same
+// result. The flag -rapid.seed sets another seed.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
--- a/coordination/claim/property_test.go
+++ b/coordination/claim/property_test.go
@@ -13,41 +13,45 @@
 	"github.com/jacinthgate/jacinthgate/protocol/outcome"
 )
 
-// world is one key's item, the backend server's runs and the requests.
-type world struct {
+// simulation models the item of one key, the requests with this key and their
+// runs at the backend server.
+type simulation struct {
 	t        *rapid.T
 	now      time.Time
 	item     claim.Item
-	late     []claim.Write // writes that still may land
+	delayed  []claim.Write // writes that may still take effect
 	attempts []*attempt
-	runs     []string
-	clean    bool // no kill, lost answer or give-up: the key must not be stuck
+	runs     []string // the attempts that ran
+	clean    bool     // no kill, lost response or give-up: the key must not stay blocked
 }
 
+// attempt is one request with the key.
 type attempt struct {
 	id       string
 	machine  *claim.Machine
-	io       core.Action // the outstanding Write, Read or RetryLater
-	ready    bool        // the verdict was Proceed
-	sent     bool        // leave to send was given and not yet used
+	pending  core.Action // the outstanding Write, Read or RetryLater
+	ready    bool        // the request holds the claim and has not ended
+	sent     bool        // a send was permitted and has not happened yet
 	ran      bool
 	refused  *claim.Refuse
 	replayed *claim.Answer
 }
 
-func (w *world) begin() *attempt {
-	a := &attempt{id: fmt.Sprint("a", len(w.attempts))}
+// begin starts a new request.
+func (s *simulation) begin() *attempt {
+	a := &attempt{id: fmt.Sprint("a", len(s.attempts))}
 	a.machine = claim.New(claim.DefaultConfig(), claim.Record{Attempt: a.id})
-	w.attempts = append(w.attempts, a)
-	w.step(a, claim.Start{})
+	s.attempts = append(s.attempts, a)
+	s.step(a, claim.Start{})
 	return a
 }
 
-func (w *world) step(a *attempt, ev core.Event) {
-	for _, act := range a.machine.Step(w.now, ev) {
+// step delivers an event to a's machine and records the resulting actions.
+func (s *simulation) step(a *attempt, ev core.Event) {
+	for _, act := range a.machine.Step(s.now, ev) {
 		switch act := act.(type) {
 		case claim.Write, claim.Read, claim.RetryLater:
-			a.io = act
+			a.pending = act
 		case claim.Proceed:
 			a.ready = true
 		case claim.Send:
@@ -57,187 +61,196 @@
 		case claim.Refuse:
 			a.refused = &act
 		case claim.GiveUp:
-			w.clean = false
+			s.clean = false
 		}
 	}
 }
 
-// land applies a write and reports whether its condition held.
-func (w *world) land(wr claim.Write) bool {
-	if wr.IfRevision != w.item.Revision {
+// commit applies a write and reports whether its condition held.
+func (s *simulation) commit(wr claim.Write) bool {
+	if wr.IfRevision != s.item.Revision {
 		return false
 	}
-	w.item = claim.Item{Revision: w.item.Revision + 1, Record: wr.Record}
+	s.item = claim.Item{Revision: s.item.Revision + 1, Record: wr.Record}
 	return true
 }
 
-// answer lets the outstanding call of a end in the given way.
-func (w *world) answer(a *attempt, fate string) {
-	io := a.io
-	a.io = nil
-	switch io := io.(type) {
+// complete ends the outstanding call of a with the given result.
+func (s *simulation) complete(a *attempt, result string) {
+	pending := a.pending
+	a.pending = nil
+	switch pending := pending.(type) {
 	case claim.RetryLater:
-		w.step(a, claim.Retry{})
+		s.step(a, claim.Retry{})
 	case claim.Read:
-		if fate != "ok" {
-			w.step(a, claim.LoadFailed{})
+		if result != "ok" {
+			s.step(a, claim.LoadFailed{})
 			return
 		}
-		w.step(a, claim.Loaded{Current: w.item})
+		s.step(a, claim.Loaded{Current: s.item})
 	case claim.Write:
-		w.answerWrite(a, io, fate)
+		s.completeWrite(a, pending, result)
 	}
 }
 
-func (w *world) answerWrite(a *attempt, wr claim.Write, fate string) {
-	switch fate {
+func (s *simulation) completeWrite(a *attempt, wr claim.Write, result string) {
+	switch result {
 	case "ok":
-		if w.land(wr) {
-			w.step(a, claim.Written{Revision: w.item.Revision})
+		if s.commit(wr) {
+			s.step(a, claim.Written{Revision: s.item.Revision})
 			return
 		}
-		w.step(a, claim.Conflict{Current: w.item})
-	case "answer lost":
-		w.land(wr)
-		w.step(a, claim.WriteUnknown{})
-	case "late":
-		w.late = append(w.late, wr)
-		w.step(a, claim.WriteUnknown{})
+		s.step(a, claim.Conflict{Current: s.item})
+	case "response lost":
+		s.commit(wr)
+		s.step(a, claim.WriteUnknown{})
+	case "delayed":
+		s.delayed = append(s.delayed, wr)
+		s.step(a, claim.WriteUnknown{})
 	default:
-		w.step(a, claim.WriteFailed{})
+		s.step(a, claim.WriteFailed{})
 	}
 }
 
-// use lets a request that holds its key take one step.
-func (w *world) use(a *attempt, how string) {
-	w.step(a, claim.Dispatch{})
+// send tries one send of a request that holds its claim; result is what the
+// backend server does.
+func (s *simulation) send(a *attempt, result string) {
+	s.step(a, claim.Dispatch{})
 	if !a.sent {
-		w.step(a, claim.NotRun{})
+		s.step(a, claim.NotRun{})
 		a.ready = false
 		return
 	}
 	a.sent = false
-	if how == "refused, try another" {
+	if result == "refused, try another server" {
 		return
 	}
 	a.ready = false
-	if how == "refused" {
-		w.step(a, claim.NotRun{})
+	if result == "refused" {
+		s.step(a, claim.NotRun{})
 		return
 	}
 	a.ran = true
-	w.runs = append(w.runs, a.id)
-	if how == "lost" {
-		w.clean = false
-		w.step(a, claim.Lost{})
+	s.runs = append(s.runs, a.id)
+	if result == "response lost" {
+		s.clean = false
+		s.step(a, claim.Lost{})
 		return
 	}
-	w.step(a, claim.Answered{Answer: claim.Answer{Status: 201, Body: []byte(a.id)}})
+	s.step(a, claim.Answered{Answer: claim.Answer{Status: 201, Body: []byte(a.id)}})
 }
 
-func (w *world) pick(label string, want func(*attempt) bool) *attempt {
-	var fit []*attempt
-	for _, a := range w.attempts {
-		if want(a) {
-			fit = append(fit, a)
+// pick draws one of the matching attempts; it returns nil if there is none.
+func (s *simulation) pick(label string, match func(*attempt) bool) *attempt {
+	var matching []*attempt
+	for _, a := range s.attempts {
+		if match(a) {
+			matching = append(matching, a)
 		}
 	}
-	if len(fit) == 0 {
+	if len(matching) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(fit).Draw(w.t, label)
+	return rapid.SampledFrom(matching).Draw(s.t, label)
 }
 
-func (w *world) check() {
-	must.True(w.t, len(w.runs) <= 1, must.Sprint("runs: ", w.runs))
-	for _, a := range w.attempts {
+// check verifies that at most one attempt ran, that no attempt with the
+// outcome not-run ran, and that only the response of the run is replayed.
+func (s *simulation) check() {
+	must.True(s.t, len(s.runs) <= 1, must.Sprint("runs: ", s.runs))
+	for _, a := range s.attempts {
 		if a.refused != nil && a.refused.Outcome == outcome.NotRun {
-			must.False(w.t, a.ran, must.Sprint("told not run: ", a.id))
+			must.False(s.t, a.ran, must.Sprint("ran despite outcome not-run: ", a.id))
 		}
 		if a.replayed != nil {
-			must.SliceNotEmpty(w.t, w.runs)
-			must.Eq(w.t, w.runs[0], string(a.replayed.Body))
+			must.SliceNotEmpty(s.t, s.runs)
+			must.Eq(s.t, s.runs[0], string(a.replayed.Body))
 		}
 	}
 }
 
-// heal lets everything that is outstanding end well.
-func (w *world) heal() {
-	for _, a := range w.attempts {
-		for a.io != nil || a.ready {
-			if a.io != nil {
-				w.answer(a, "ok")
+// settle completes all outstanding calls without failure, ends the requests
+// that hold a claim and then applies the delayed writes.
+func (s *simulation) settle() {
+	for _, a := range s.attempts {
+		for a.pending != nil || a.ready {
+			if a.pending != nil {
+				s.complete(a, "ok")
 				continue
 			}
-			w.use(a, "refused")
+			s.send(a, "refused")
 		}
 	}
-	for _, wr := range w.late {
-		w.land(wr)
+	for _, wr := range s.delayed {
+		s.commit(wr)
 	}
-	w.late = nil
+	s.delayed = nil
 }
 
+// TestAtMostOneRun runs up to five requests with one key under failed, lost and
+// delayed writes, cancellations, kills and pauses. At most one of them may run.
+// Without a kill, a lost response or a give-up, a later request gets the claim
+// if none ran, and the replayed response if one ran.
 func TestAtMostOneRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: time.Unix(1e9, 0), clean: true}
+		s := &simulation{t: t, now: time.Unix(1e9, 0), clean: true}
 		t.Repeat(map[string]func(*rapid.T){
-			"": func(*rapid.T) { w.check() },
+			"": func(*rapid.T) { s.check() },
 			"begin": func(*rapid.T) {
-				if len(w.attempts) < 5 {
-					w.begin()
+				if len(s.attempts) < 5 {
+					s.begin()
 				}
 			},
 			"call ends": func(t *rapid.T) {
-				if a := w.pick("caller", func(a *attempt) bool { return a.io != nil }); a != nil {
-					w.answer(a, rapid.SampledFrom([]string{"ok", "answer lost", "late", "failed"}).Draw(t, "fate"))
+				if a := s.pick("caller", func(a *attempt) bool { return a.pending != nil }); a != nil {
+					s.complete(a, rapid.SampledFrom([]string{"ok", "response lost", "delayed", "failed"}).Draw(t, "result"))
 				}
 			},
 			"late write lands": func(t *rapid.T) {
-				if n := len(w.late); n > 0 {
+				if n := len(s.delayed); n > 0 {
 					i := rapid.IntRange(0, n-1).Draw(t, "write")
-					w.land(w.late[i])
-					w.late = append(w.late[:i], w.late[i+1:]...)
+					s.commit(s.delayed[i])
+					s.delayed = append(s.delayed[:i], s.delayed[i+1:]...)
 				}
 			},
 			"use": func(t *rapid.T) {
-				if a := w.pick("holder", func(a *attempt) bool { return a.ready }); a != nil {
-					w.use(a, rapid.SampledFrom([]string{"answered", "lost", "refused", "refused, try another"}).Draw(t, "how"))
+				if a := s.pick("holder", func(a *attempt) bool { return a.ready }); a != nil {
+					s.send(a, rapid.SampledFrom([]string{"answered", "response lost", "refused", "refused, try another server"}).Draw(t, "result"))
 				}
 			},
 			"cancel": func(t *rapid.T) {
-				a := w.pick("cancelled", func(a *attempt) bool { return a.io != nil })
+				a := s.pick("cancelled", func(a *attempt) bool { return a.pending != nil })
 				if a != nil && rapid.IntRange(0, 2).Draw(t, "rare") == 0 {
-					w.step(a, claim.Cancelled{})
+					s.step(a, claim.Cancelled{})
 				}
 			},
 			"kill": func(t *rapid.T) {
-				a := w.pick("killed", func(a *attempt) bool { return a.io != nil || a.ready })
+				a := s.pick("killed", func(a *attempt) bool { return a.pending != nil || a.ready })
 				if a == nil || rapid.IntRange(0, 4).Draw(t, "rare") > 0 {
 					return
 				}
-				if wr, ok := a.io.(claim.Write); ok {
-					w.late = append(w.late, wr)
+				if wr, ok := a.pending.(claim.Write); ok {
+					s.delayed = append(s.delayed, wr)
 				}
-				a.io, a.ready, w.clean = nil, false, false
+				a.pending, a.ready, s.clean = nil, false, false
 			},
 			"pause": func(t *rapid.T) {
-				w.now = w.now.Add(rapid.SampledFrom([]time.Duration{time.Second, time.Minute}).Draw(t, "pause"))
+				s.now = s.now.Add(rapid.SampledFrom([]time.Duration{time.Second, time.Minute}).Draw(t, "pause"))
 			},
 		})
-		w.heal()
-		w.check()
-		last := w.begin()
-		for last.io != nil {
-			w.answer(last, "ok")
+		s.settle()
+		s.check()
+		last := s.begin()
+		for last.pending != nil {
+			s.complete(last, "ok")
 		}
-		if w.clean {
-			must.Eq(t, len(w.runs) == 0, last.ready, must.Sprint("the key is stuck"))
-			must.Eq(t, len(w.runs) == 1, last.replayed != nil)
+		if s.clean {
+			must.Eq(t, len(s.runs) == 0, last.ready, must.Sprint("a new request must get the claim exactly when no request ran"))
+			must.Eq(t, len(s.runs) == 1, last.replayed != nil)
 		}
 		if last.ready {
-			w.use(last, "answered")
+			s.send(last, "answered")
 		}
-		w.check()
+		s.check()
 	})
 }
--- a/coordination/claim/record.go
+++ b/coordination/claim/record.go
@@ -13,7 +13,7 @@
 // Prefix starts the key of every record in the table service.
 const Prefix = "claim/"
 
-// Limits on an answer that is kept for replay.
+// Limits on a response that is kept for replay.
 const (
 	// MaxBody is the largest body kept, in bytes.
 	MaxBody = 16 << 10
@@ -24,32 +24,37 @@
 // State is the state of a record.
 type State string
 
-// The states.
+// The states of a record.
 const (
 	// StateClaimed means that the attempt may have been sent.
 	StateClaimed State = "claimed"
-	// StateDone means that the attempt was answered. It never changes again.
+	// StateDone means that the backend server responded to the attempt. This
+	// state is final.
 	StateDone State = "done"
-	// StateReleased means that the attempt certainly was not run. The next
+	// StateReleased means that the attempt certainly did not run. The next
 	// attempt may replace the record.
 	StateReleased State = "released"
 )
 
-// Record is the content of one item: the life of one key.
+// Record is the content of one item in the table service: the state of one
+// Idempotency-Key.
 type Record struct {
 	// State is the record's state.
 	State State `cbor:"1,keyasint"`
-	// Attempt is unique to one request at one entry proxy.
+	// Attempt is a unique identifier of one request at one entry proxy.
 	Attempt string `cbor:"2,keyasint"`
-	// Node is the entry proxy that owns the attempt, for the operator.
+	// Node is the entry proxy that owns the attempt. It is information for
+	// the operator.
 	Node model.NodeID `cbor:"3,keyasint"`
-	// Incarnation is the owner's incarnation, for the operator.
+	// Incarnation is the owner's incarnation. It is information for the
+	// operator.
 	Incarnation uint64 `cbor:"4,keyasint"`
-	// Fingerprint tells whether a repeat is the same request.
+	// Fingerprint identifies the request, so that the key can't be reused for
+	// another one.
 	Fingerprint Fingerprint `cbor:"5,keyasint"`
 	// Started is when the attempt began, in milliseconds since 1970.
 	Started int64 `cbor:"6,keyasint"`
-	// Answer is the backend server's answer; nil unless State is StateDone.
+	// Answer is the backend server's response; nil unless State is StateDone.
 	Answer *Answer `cbor:"7,keyasint,omitempty"`
 }
 
@@ -64,8 +69,8 @@
 	BodyHash []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// Same reports whether f and o may be of the same request. A body that was
-// not hashed matches any other.
+// Same reports whether f and o may identify the same request. A body that was
+// not hashed matches every body.
 func (f Fingerprint) Same(o Fingerprint) bool {
 	if f.Method != o.Method || f.Target != o.Target {
 		return false
@@ -84,7 +89,7 @@
 	Value string `cbor:"2,keyasint"`
 }
 
-// Answer is a backend server's whole answer.
+// Answer is a backend server's complete response, as it is kept for replay.
 type Answer struct {
 	// Status is the HTTP status.
 	Status int `cbor:"1,keyasint"`
@@ -92,13 +97,13 @@
 	Header []Field `cbor:"2,keyasint,omitempty"`
 	// Body is the whole body.
 	Body []byte `cbor:"3,keyasint,omitempty"`
-	// NotKept says that the answer was too large to be kept: Header and Body
-	// are empty and it can't be replayed.
+	// NotKept is set when the response was too large to be kept: Header and
+	// Body are empty, and it can't be replayed.
 	NotKept bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Trim returns the answer as it is kept: whole, or marked NotKept when it
-// exceeds MaxBody or MaxHeader.
+// Trim returns the response as it is kept: unchanged, or only the status and
+// NotKept if it exceeds MaxBody or MaxHeader.
 func (a Answer) Trim() Answer {
 	size := 0
 	for _, f := range a.Header {
@@ -110,7 +115,8 @@
 	return a
 }
 
-// ItemKey returns the key of the record of an organisation's Idempotency-Key.
+// ItemKey returns the table key of the record for an organisation's
+// Idempotency-Key, which it hashes.
 func ItemKey(organisation, key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return Prefix + organisation + "/" + hex.EncodeToString(sum[:])
@@ -119,7 +125,7 @@
 // Encode returns the record as the value of an item.
 func (r Record) Encode() ([]byte, error) { return cbor.Marshal(r) }
 
-// Decode reads a record. It returns a *DecodeError.
+// Decode decodes the value of an item. Its error is a *DecodeError.
 func Decode(value []byte) (Record, error) {
 	var r Record
 	if err := cbor.Unmarshal(value, &r); err != nil {
@@ -128,12 +134,12 @@
 	return r, nil
 }
 
-// Expired reports whether the record is older than retain.
-func (r Record) Expired(now time.Time, retain time.Duration) bool {
-	return now.Sub(time.UnixMilli(r.Started)) > retain
+// Expired reports whether the record is older than maxAge.
+func (r Record) Expired(now time.Time, maxAge time.Duration) bool {
+	return now.Sub(time.UnixMilli(r.Started)) > maxAge
 }
 
-// DecodeError reports an item that holds no record.
+// DecodeError reports that an item's value is no valid record.
 type DecodeError struct {
 	// Err is the cause.
 	Err error
--- a/coordination/claim/settle.go
+++ b/coordination/claim/settle.go
@@ -2,7 +2,8 @@
 
 import "github.com/jacinthgate/jacinthgate/coordination/core"
 
-// held takes the end of a request that may have been sent.
+// held handles the events of phaseHeld: the end of a request that may have
+// been sent.
 func (m *Machine) held(ev core.Event) []core.Action {
 	switch e := ev.(type) {
 	case Answered:
@@ -12,7 +13,7 @@
 	case NotRun:
 		m.record.State = StateReleased
 	case Lost:
-		// The claim stays: no repeat may run.
+		// The claim stays, so that no retry can run.
 		m.phase = phaseEnded
 		return nil
 	default:
@@ -22,27 +23,30 @@
 	return m.writeFinal()
 }
 
+// writeFinal writes the response or the release over the claim.
 func (m *Machine) writeFinal() []core.Action {
 	return actions(Write{Record: m.record, IfRevision: m.revision})
 }
 
-// finishing repeats the last write until its effect is certain. A repeat is
-// harmless: only this attempt writes over its own revision.
+// finishing handles the events of phaseFinishing: it repeats the final write
+// until it is certain that the write took effect. Repeating the write is safe,
+// because only this attempt replaces the revision that it wrote itself.
 func (m *Machine) finishing(ev core.Event) []core.Action {
 	switch ev.(type) {
 	case Written, Conflict:
 		m.phase = phaseEnded
 	case WriteUnknown, WriteFailed:
-		return m.later()
+		return m.scheduleRetry()
 	case Retry:
 		return m.writeFinal()
 	}
 	return nil
 }
 
-// abandoning releases a claim that was never used. Where the claim's write
-// has not been seen, a released record takes its place, so that the write
-// can't take effect late and block the key.
+// abandoning handles the events of phaseAbandoning: it releases a claim that
+// was never used to send. If the item still has the revision that the claim
+// write was conditional on, a released record is written there, so that a
+// delayed claim write fails its condition and can't block the key.
 func (m *Machine) abandoning(ev core.Event) []core.Action {
 	switch e := ev.(type) {
 	case Written:
@@ -59,25 +63,28 @@
 		}
 		return m.releaseOwn(e.Current)
 	case WriteFailed:
-		return m.unwritten()
+		return m.writeFailed()
 	case WriteUnknown, LoadFailed:
-		m.doubt = true
-		return m.later()
+		m.unconfirmed = true
+		return m.scheduleRetry()
 	case Retry:
 		return actions(Read{})
 	}
 	return nil
 }
 
-// unwritten ends a cancelled request whose claim certainly was not written.
-func (m *Machine) unwritten() []core.Action {
-	if m.doubt || m.releasing {
-		return m.later()
+// writeFailed handles WriteFailed in phaseAbandoning. It ends the machine if
+// no claim write can have taken effect; otherwise it schedules a retry.
+func (m *Machine) writeFailed() []core.Action {
+	if m.unconfirmed || m.releasing {
+		return m.scheduleRetry()
 	}
 	m.phase = phaseEnded
 	return nil
 }
 
+// releaseOwn releases the item's claim if this attempt holds it, and ends the
+// machine otherwise.
 func (m *Machine) releaseOwn(it Item) []core.Action {
 	own := it.Revision != 0 && !it.Corrupt && it.Record.Attempt == m.record.Attempt
 	if own && it.Record.State == StateClaimed {
@@ -87,15 +94,17 @@
 	return nil
 }
 
+// release writes a released record over the given revision of the item.
 func (m *Machine) release(revision uint64) []core.Action {
 	m.releasing = true
 	m.record.State = StateReleased
 	return actions(Write{Record: m.record, IfRevision: revision})
 }
 
-// later asks for another try; Step ends the tries after SettleFor.
-func (m *Machine) later() []core.Action {
-	wait := m.wait
-	m.wait = min(2*m.wait, m.cfg.SettleRetryMax)
-	return actions(RetryLater{After: wait})
+// scheduleRetry returns a RetryLater with exponential backoff. Step ends the
+// retries once SettleFor is over.
+func (m *Machine) scheduleRetry() []core.Action {
+	after := m.backoff
+	m.backoff = min(2*m.backoff, m.cfg.SettleRetryMax)
+	return actions(RetryLater{After: after})
 }
