--- a/coordination/claim/machine_test.go
+++ b/coordination/claim/machine_test.go
@@ -58,8 +58,8 @@
 			claim.Refuse{Outcome: outcome.Unknown, Reason: outcome.ReasonAnswerNotKept}},
 		{"key of another request", []core.Event{claim.Conflict{Current: otherRequest}},
 			claim.Refuse{Outcome: outcome.NotRun, Reason: outcome.ReasonKeyReused}},
-		{"corrupt record", []core.Event{claim.Conflict{Current: claim.Item{Revision: 2, Corrupt: true}}}, lost},
-		{"deadline passed", []core.Event{claim.Cancelled{}}, claim.Refuse{
+		{"corrupt", []core.Event{claim.Conflict{Current: claim.Item{Revision: 2, Corrupt: true}}}, lost},
+		{"deadline", []core.Event{claim.Cancelled{}}, claim.Refuse{
 			Outcome: outcome.NotRun, Reason: outcome.ReasonDeadline, RetryAfter: cfg.InProgressRetry}},
 	}
 	for _, c := range cases {
--- a/coordination/claim/property_test.go
+++ b/coordination/claim/property_test.go
@@ -104,7 +104,7 @@
 	case "response lost":
 		s.commit(wr)
 		s.step(a, claim.WriteUnknown{})
-	case "delayed":
+	case "late":
 		s.delayed = append(s.delayed, wr)
 		s.step(a, claim.WriteUnknown{})
 	default:
@@ -132,7 +132,7 @@
 	}
 	a.ran = true
 	s.runs = append(s.runs, a.id)
-	if result == "response lost" {
+	if result == "lost" {
 		s.clean = false
 		s.step(a, claim.Lost{})
 		return
@@ -203,7 +203,7 @@
 			},
 			"call ends": func(t *rapid.T) {
 				if a := s.pick("caller", func(a *attempt) bool { return a.pending != nil }); a != nil {
-					s.complete(a, rapid.SampledFrom([]string{"ok", "response lost", "delayed", "failed"}).Draw(t, "result"))
+					s.complete(a, rapid.SampledFrom([]string{"ok", "response lost", "late", "failed"}).Draw(t, "fate"))
 				}
 			},
 			"late write lands": func(t *rapid.T) {
@@ -215,7 +215,7 @@
 			},
 			"use": func(t *rapid.T) {
 				if a := s.pick("holder", func(a *attempt) bool { return a.ready }); a != nil {
-					s.send(a, rapid.SampledFrom([]string{"answered", "response lost", "refused", "refused, try another server"}).Draw(t, "result"))
+					s.send(a, rapid.SampledFrom([]string{"answered", "lost", "refused", "refused, try another server"}).Draw(t, "how"))
 				}
 			},
 			"cancel": func(t *rapid.T) {
