--- a/coordination/admit/limit.go
+++ b/coordination/admit/limit.go
@@ -12,69 +12,73 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Share is what is granted to this node of one fleet-wide limit, on top of the
-// floor that it always has.
+// Share is the node's grant of one fleet-wide limit, in addition to the floor,
+// which it may always use.
 type Share struct {
 	// PerSecond is the rate in requests per second.
 	PerSecond float64
-	// Concurrency is the number of requests in flight; it may be a fraction.
+	// Concurrency is the number of requests in flight; it need not be whole.
 	Concurrency float64
 }
 
-// limit is the state of one limit. It outlives versions of the contract that
-// change the limit's numbers.
+// limit is the node's state of one fleet-wide limit, of an organisation or of a
+// class. It is kept when a new version of the contract changes the limit's rate or
+// concurrency.
 type limit struct {
 	name  string
 	hash  uint64
 	share atomic.Pointer[Share] // nil: no grant, only the floor
 
-	tokens   bucket.Bucket
-	inFlight atomic.Int64 // all requests
-	reserved atomic.Int64 // those on a class's reserve
-	shared   atomic.Int64 // those of an organisation on no reserve
-	weights  atomic.Int64 // of an organisation's active classes, set by Tick
+	tokens       bucket.Bucket
+	inFlight     atomic.Int64 // all requests in flight
+	reserved     atomic.Int64 // a class's requests in flight within its reserve
+	shared       atomic.Int64 // an organisation's requests in flight outside its classes' reserves
+	activeWeight atomic.Int64 // sum of the weights of an organisation's active classes, set by Tick
 
-	offered  atomic.Uint64 // requests since the start
-	released atomic.Uint64 // requests ended since the start
-	held     atomic.Int64  // nanoseconds that they took
-	last     measured      // of the writer
+	offered    atomic.Uint64 // requests since the limit was created, refused ones included
+	released   atomic.Uint64 // requests released since the limit was created
+	heldNanos  atomic.Int64  // sum of the released requests' times in flight
+	lastSample demandSample  // guarded by Limiter.mu
 }
 
-// measured is the state of the counters at the last Demand.
-type measured struct {
-	offered  uint64
-	released uint64
-	held     int64
-	hold     float64 // seconds for each request
+// demandSample holds a limit's counters as they were at the last Demand.
+type demandSample struct {
+	offered         uint64
+	released        uint64
+	heldNanos       int64
+	meanHoldSeconds float64 // mean time that a request was in flight
 }
 
 func newLimit(name string) *limit { return &limit{name: name, hash: xxhash.Sum64String(name)} }
 
-// size returns the node's bucket for a fleet-wide rate.
-func (l *limit) size(cfg *Config, r model.Rate, floor float64) bucket.Size {
-	part := floor
+// bucketSize returns the refill rate and burst of the node's token bucket for a
+// fleet-wide rate, from the floor and the node's grant.
+func (l *limit) bucketSize(cfg *Config, r model.Rate, floor float64) bucket.Size {
+	fraction := floor
 	if s := l.share.Load(); s != nil {
-		part = min(1, part+s.PerSecond/r.PerSecond)
+		fraction = min(1, fraction+s.PerSecond/r.PerSecond)
 	}
-	return bucket.Size{PerSecond: r.PerSecond * part, Burst: max(float64(r.Burst)*part, cfg.MinBurst)}
+	return bucket.Size{PerSecond: r.PerSecond * fraction, Burst: max(float64(r.Burst)*fraction, cfg.MinBurst)}
 }
 
-// part returns the node's part of a fleet-wide concurrency, 0 to 1.
-func (l *limit) part(concurrency int, floor float64) float64 {
+// concurrencyFraction returns the node's fraction of a fleet-wide concurrency, 0
+// to 1, from the floor and the node's grant.
+func (l *limit) concurrencyFraction(concurrency int, floor float64) float64 {
 	if s := l.share.Load(); s != nil && concurrency > 0 {
 		return min(1, floor+s.Concurrency/float64(concurrency))
 	}
 	return floor
 }
 
-// slots returns the whole number of requests in flight that a concurrency of x
-// allows now. The fraction is held for one period by as large a part of the
-// nodes, in turns that depend on the node's seed, so that asking again does
-// not help.
-func (l *limit) slots(cfg *Config, x float64, seed uint64, now time.Time) int64 {
-	x = max(x, cfg.MinConcurrency)
-	whole := math.Floor(x)
-	fraction := x - whole
+// slots rounds the node's concurrency to the whole number of requests in flight
+// that it allows now, at least MinConcurrency. In each period of RotateEvery, the
+// share of nodes that round up equals the fractional part. Which nodes do depends
+// on the limit, the node's seed and the period only, so a caller that retries
+// within the period gets the same result.
+func (l *limit) slots(cfg *Config, concurrency float64, seed uint64, now time.Time) int64 {
+	concurrency = max(concurrency, cfg.MinConcurrency)
+	whole := math.Floor(concurrency)
+	fraction := concurrency - whole
 	if fraction == 0 {
 		return int64(whole)
 	}
@@ -85,9 +89,9 @@
 	return int64(whole)
 }
 
-// add counts n up by one unless it has reached the limit.
-func add(n *atomic.Int64, most int64) bool {
-	if n.Add(1) <= most {
+// add increments n unless it has reached maximum, and reports whether it did.
+func add(n *atomic.Int64, maximum int64) bool {
+	if n.Add(1) <= maximum {
 		return true
 	}
 	n.Add(-1)
--- a/coordination/admit/limiter_test.go
+++ b/coordination/admit/limiter_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func build(t *testing.T, version uint64, cs ...*model.Contract) *snapshot.Snapshot {
+func buildSnapshot(t *testing.T, version uint64, cs ...*model.Contract) *snapshot.Snapshot {
 	entries := make(map[string]*snapshot.ContractEntry)
 	for _, c := range cs {
 		entries[c.Organisation] = &snapshot.ContractEntry{Revision: version, Contract: c}
@@ -40,7 +40,7 @@
 
 func newLimiter(t *testing.T, cfg Config, cs ...*model.Contract) *Limiter {
 	l := New(cfg, 1)
-	l.Update(build(t, 1, cs...))
+	l.Update(buildSnapshot(t, 1, cs...))
 	return l
 }
 
@@ -53,62 +53,64 @@
 	return snapshot.Match{Contract: c, Class: &model.Class{Name: class}}
 }
 
-// fill admits until a refusal and returns the number let in and the refusal.
-func fill(l *Limiter, now time.Time, m snapshot.Match) ([]Permit, *Refusal) {
-	var ps []Permit
+// admitUntilRefused admits requests until one is refused, and returns the permits
+// and the refusal.
+func admitUntilRefused(l *Limiter, now time.Time, m snapshot.Match) ([]Permit, *Refusal) {
+	var permits []Permit
 	for {
 		p, r := l.Admit(now, m)
 		if r != nil {
-			return ps, r
+			return permits, r
 		}
-		ps = append(ps, p)
+		permits = append(permits, p)
 	}
 }
 
-func TestRateGivesTheTimeToComeBack(t *testing.T) {
+func TestRateRefusalReturnsRetryAfter(t *testing.T) {
 	c := contract("tabla")
 	c.Concurrency = 1000
 	c.Classes[2].Concurrency = 0
 	l := newLimiter(t, DefaultConfig(), c)
-	ps, r := fill(l, start, match(c, "bulk"))
-	must.SliceLen(t, 5, ps)
+	permits, r := admitUntilRefused(l, start, match(c, "bulk"))
+	must.SliceLen(t, 5, permits)
 	must.Eq(t, outcome.ReasonRateLimited, r.Reason)
 	must.Between(t, 100*time.Millisecond, r.RetryAfter, 150*time.Millisecond)
-	ps, _ = fill(l, start.Add(200*time.Millisecond), match(c, "bulk"))
-	must.SliceLen(t, 2, ps)
-	// A refusal by the organisation's rate gives the class's token back.
+	permits, _ = admitUntilRefused(l, start.Add(200*time.Millisecond), match(c, "bulk"))
+	must.SliceLen(t, 2, permits)
+	// A refusal by the organisation's rate returns the class's token to its bucket.
 	c.Rate.Burst = 5
 	l = newLimiter(t, DefaultConfig(), c)
-	_, _ = fill(l, start, match(c, "read"))
+	_, _ = admitUntilRefused(l, start, match(c, "read"))
 	_, r = l.Admit(start, match(c, "bulk"))
 	must.NotNil(t, r)
-	ps, _ = fill(l, start.Add(5*time.Millisecond), match(c, "bulk"))
-	must.SliceLen(t, 5, ps)
+	permits, _ = admitUntilRefused(l, start.Add(5*time.Millisecond), match(c, "bulk"))
+	must.SliceLen(t, 5, permits)
 }
 
 func TestConcurrencyReserveAndWeights(t *testing.T) {
 	c := contract("tabla")
 	l := newLimiter(t, DefaultConfig(), c)
-	bulk, r := fill(l, start, match(c, "bulk"))
-	must.SliceLen(t, 4, bulk) // the class's own limit
+	bulk, r := admitUntilRefused(l, start, match(c, "bulk"))
+	must.SliceLen(t, 4, bulk) // the class's own concurrency limit
 	must.Eq(t, outcome.ReasonConcurrency, r.Reason)
-	reads, _ := fill(l, start, match(c, "read"))
-	must.SliceLen(t, 4, reads) // 8 shared
-	books, _ := fill(l, start, match(c, "book"))
-	must.SliceLen(t, 2, books) // the reserve
+	reads, _ := admitUntilRefused(l, start, match(c, "read"))
+	must.SliceLen(t, 4, reads) // the shared concurrency of 8, of which bulk uses 4
+	books, _ := admitUntilRefused(l, start, match(c, "book"))
+	must.SliceLen(t, 2, books) // the class's reserve
 	for _, p := range append(append(bulk, reads...), books...) {
 		p.Release(start)
 	}
 	must.Zero(t, l.inFlight.Load())
-	must.Zero(t, l.find("tabla").shared.Load())
+	must.Zero(t, l.findLimit("tabla").shared.Load())
 
-	// Both classes active: read, of weight 2 of 4, stops at half of the
-	// shared 8 once they are nearly used up; book fits in.
+	// With sync, bulk and read active, read has weight 2 of 4: it is refused
+	// above half of the shared 8 once these are nearly used up, and sync is
+	// still admitted.
 	first, _ := l.Admit(start, match(c, "sync"))
 	second, _ := l.Admit(start, match(c, "bulk"))
 	_, _ = l.Admit(start, match(c, "read"))
 	l.Tick()
-	reads, _ = fill(l, start, match(c, "read"))
+	reads, _ = admitUntilRefused(l, start, match(c, "read"))
 	must.Between(t, 3, len(reads), 4)
 	_, r = l.Admit(start, match(c, "sync"))
 	must.Nil(t, r)
@@ -126,7 +128,7 @@
 		class string
 		total int64
 	}{{"sync", 70}, {"bulk", 80}, {"read", 95}, {"book", 100}} {
-		_, r := fill(l, start, match(c, want.class))
+		_, r := admitUntilRefused(l, start, match(c, want.class))
 		must.Eq(t, outcome.ReasonShed, r.Reason)
 		must.Eq(t, want.total, l.inFlight.Load())
 	}
@@ -145,28 +147,28 @@
 	}
 	_, _ = l.Admit(start, match(small, "read"))
 	l.Tick()
-	_, _ = fill(l, start, match(big, "read"))
-	must.Between(t, 85, l.inFlight.Load(), 86) // the band begins
-	ps, _ := fill(l, start, match(small, "read"))
-	must.GreaterEq(t, 9, len(ps))
+	_, _ = admitUntilRefused(l, start, match(big, "read"))
+	must.Between(t, 85, l.inFlight.Load(), 86) // FairBand below the threshold of 95
+	permits, _ := admitUntilRefused(l, start, match(small, "read"))
+	must.GreaterEq(t, 9, len(permits))
 }
 
 func TestUpdateKeepsState(t *testing.T) {
 	c := contract("tabla")
 	l := newLimiter(t, DefaultConfig(), c)
-	held, _ := fill(l, start, match(c, "bulk"))
+	permits, _ := admitUntilRefused(l, start, match(c, "bulk"))
 	changed := *c
 	changed.Concurrency = 20
-	l.Update(build(t, 2, &changed))
+	l.Update(buildSnapshot(t, 2, &changed))
 	_, r := l.Admit(start, match(&changed, "bulk"))
-	must.NotNil(t, r) // the class is still full
-	held[0].Release(start)
+	must.NotNil(t, r) // the class's concurrency is still used up
+	permits[0].Release(start)
 	_, r = l.Admit(start, match(&changed, "bulk"))
 	must.Nil(t, r)
-	l.Update(build(t, 3))
+	l.Update(buildSnapshot(t, 3))
 	_, r = l.Admit(start, match(&changed, "read"))
 	must.Eq(t, outcome.ReasonNoOrganisation, r.Reason)
-	held[1].Release(start)
+	permits[1].Release(start)
 }
 
 func TestSharesAndFloor(t *testing.T) {
@@ -175,12 +177,12 @@
 	c.Concurrency, c.Classes[0].Reserve = 1000, 0
 	l := newLimiter(t, DefaultConfig(), c)
 	l.SetFloor(0.001)
-	ps, r := fill(l, start, match(c, "read"))
-	must.SliceLen(t, 1, ps) // MinBurst
+	permits, r := admitUntilRefused(l, start, match(c, "read"))
+	must.SliceLen(t, 1, permits) // one request, by MinBurst
 	must.LessEq(t, 3*time.Second, r.RetryAfter)
 	l.SetShare("tabla", Share{PerSecond: 20, Concurrency: 4})
-	ps, _ = fill(l, start.Add(10*time.Second), match(c, "read"))
-	must.SliceLen(t, 4, ps) // 4 granted and 1 of the floor, which is held
+	permits, _ = admitUntilRefused(l, start.Add(10*time.Second), match(c, "read"))
+	must.SliceLen(t, 4, permits) // concurrency 5: 4 of the grant and 1 of the floor, which the first request still uses
 	l.ClearShare("tabla")
 	_, r = l.Admit(start.Add(11*time.Second), match(c, "read"))
 	must.NotNil(t, r)
@@ -188,12 +190,14 @@
 	l.SetShare("tabla/none", Share{})
 }
 
-// TestHerdOnFloors has 30 nodes without a grant ask at once for a limit with a
-// burst of 10.
-func TestHerdOnFloors(t *testing.T) {
+// TestThunderingHerdOnFloors sends 20 requests to each of 30 nodes without a grant
+// at once, against a limit with a burst of 10. It bounds how far the fleet exceeds
+// the burst: with MinBurst 1 by one request for each node, with MinBurst 0 only the
+// floors' sum of one tenth of the burst is admitted, on average.
+func TestThunderingHerdOnFloors(t *testing.T) {
 	for _, c := range []struct {
 		minBurst float64
-		most     int
+		maximum  int
 	}{{1, 30}, {0, 3}} {
 		admitted := 0
 		for seed := range uint64(30) {
@@ -202,7 +206,7 @@
 			k := contract("tabla")
 			k.Rate = model.Rate{PerSecond: 10, Burst: 10}
 			l := New(cfg, seed)
-			l.Update(build(t, 1, k))
+			l.Update(buildSnapshot(t, 1, k))
 			l.SetFloor(0.1 / 30)
 			for range 20 {
 				if _, r := l.Admit(start, match(k, "read")); r == nil {
@@ -211,7 +215,7 @@
 			}
 		}
 		t.Logf("MinBurst %v: %d admitted at once of 600, burst 10", c.minBurst, admitted)
-		must.LessEq(t, c.most, admitted)
+		must.LessEq(t, c.maximum, admitted)
 	}
 }
 
@@ -230,7 +234,7 @@
 	must.Eq(t, "tabla", items[0].Limit)
 	must.Eq(t, "tabla/bulk", items[1].Limit)
 	must.Eq(t, 10.0, items[1].PerSecond)
-	must.Eq(t, 20.0, items[1].InFlight) // 10 a second for 2 s each
+	must.Eq(t, 20.0, items[1].InFlight) // 10 per second, each in flight for 2 s
 }
 
 func TestFractionsOfConcurrencyRotate(t *testing.T) {
@@ -265,7 +269,7 @@
 func TestConcurrencyIsExactUnderRace(t *testing.T) {
 	c := contract("tabla")
 	l := newLimiter(t, DefaultConfig(), c)
-	var open, most atomic.Int64
+	var open, maximum atomic.Int64
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
@@ -274,8 +278,8 @@
 				if r != nil {
 					continue
 				}
-				if n := open.Add(1); n > most.Load() {
-					most.Store(n)
+				if n := open.Add(1); n > maximum.Load() {
+					maximum.Store(n)
 				}
 				open.Add(-1)
 				p.Release(start)
@@ -283,8 +287,8 @@
 		})
 	}
 	wg.Wait()
-	must.LessEq(t, 8, most.Load()) // 10 less the reserve of 2
+	must.LessEq(t, 8, maximum.Load()) // concurrency 10 minus the reserve of 2
 	must.Zero(t, l.inFlight.Load())
-	must.Zero(t, l.find("tabla").inFlight.Load())
-	must.Zero(t, l.find("tabla/read").inFlight.Load())
+	must.Zero(t, l.findLimit("tabla").inFlight.Load())
+	must.Zero(t, l.findLimit("tabla/read").inFlight.Load())
 }
