--- a/coordination/accept/build.go
+++ b/coordination/accept/build.go
@@ -7,21 +7,23 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// candidate is a version that is ready to be accepted on top of one head.
+// candidate is a version that is ready to be accepted as the successor of one
+// head, with its objects and the values of the transaction in encoded form.
 type candidate struct {
-	headRevision uint64
+	headRevision uint64 // revision of the head item that it succeeds
 	snapshot     *snapshot.Snapshot
 	entry        Entry
 	full, delta  []byte
 	head, record []byte
-	// fullStored and deltaStored say that the objects are in the store.
+	// fullStored and deltaStored are set once the store has confirmed the
+	// objects full and delta.
 	fullStored, deltaStored bool
 }
 
-// prepare builds and checks the version after base. It returns a
-// *ConflictError or an *InvalidError.
+// prepare builds, checks and encodes the version that follows m.base. The error is
+// a *ConflictError or an *InvalidError.
 func (m *Machine) prepare(now time.Time) (*candidate, error) {
-	if err := checkBase(m.base, &m.change); err != nil {
+	if err := checkRevisions(m.base, &m.change); err != nil {
 		return nil, err
 	}
 	next, err := build(m.base, m.change.Batch)
@@ -36,15 +38,15 @@
 	if c.head, err = encode(m.head.advance(c.entry)); err != nil {
 		return nil, &InvalidError{Err: err}
 	}
-	record := &Record{Entry: c.entry, Sum: m.sum, Previous: m.head.last()}
+	record := &Record{Entry: c.entry, Sum: m.sum, Previous: m.head.lastChangeID()}
 	if c.record, err = encode(record); err != nil {
 		return nil, &InvalidError{Err: err}
 	}
 	return c, nil
 }
 
-// encodeObjects encodes the version and its delta, and reads both back as a
-// node will: what a node could not load must not be accepted.
+// encodeObjects encodes the version and its delta, and decodes both again as a
+// node will, since a version that nodes can't load must not be accepted.
 func (m *Machine) encodeObjects(c *candidate) error {
 	var err error
 	if c.full, err = c.snapshot.Encode(); err != nil {
@@ -74,9 +76,9 @@
 	return err
 }
 
-// checkBase checks that each document has the revision that the change is
-// based on.
-func checkBase(base *snapshot.Snapshot, c *Change) error {
+// checkRevisions checks that each document of the change has, in base, the
+// revision that the change is based on, and that documents to be deleted exist.
+func checkRevisions(base *snapshot.Snapshot, c *Change) error {
 	for _, d := range c.Batch.Contracts {
 		if err := c.checkRevision(ContractKey(d.Organisation), contractRevision(base, d.Organisation)); err != nil {
 			return err
@@ -100,6 +102,8 @@
 	return nil
 }
 
+// checkRevision compares a document's current revision with the change's base
+// revision, unless the change is forced.
 func (c *Change) checkRevision(key DocumentKey, current uint64) error {
 	if c.Force || c.Base[key] == current {
 		return nil
@@ -107,6 +111,8 @@
 	return &ConflictError{Document: key, Base: c.Base[key], Current: current}
 }
 
+// checkDeletion checks the revision as checkRevision does, and that the document
+// exists.
 func (c *Change) checkDeletion(key DocumentKey, current uint64) error {
 	if err := c.checkRevision(key, current); err != nil {
 		return err
@@ -117,6 +123,8 @@
 	return nil
 }
 
+// contractRevision returns the revision of an organisation's contract; 0 when it
+// does not exist.
 func contractRevision(s *snapshot.Snapshot, organisation string) uint64 {
 	if e := s.Contract(organisation); e != nil {
 		return e.Revision
@@ -124,6 +132,7 @@
 	return 0
 }
 
+// serviceRevision returns the revision of a service; 0 when it does not exist.
 func serviceRevision(s *snapshot.Snapshot, name string) uint64 {
 	if e := s.Service(name); e != nil {
 		return e.Revision
@@ -131,8 +140,8 @@
 	return 0
 }
 
-// build returns the version after base with the batch's documents. It returns
-// one of Consistent's errors.
+// build returns the version that follows base, with the batch's documents. The
+// error is one of snapshot.Build or of Snapshot.Consistent.
 func build(base *snapshot.Snapshot, b *model.Batch) (*snapshot.Snapshot, error) {
 	version := base.Version() + 1
 	contracts := make(map[string]*snapshot.ContractEntry)
--- a/coordination/accept/config.go
+++ b/coordination/accept/config.go
@@ -6,33 +6,33 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Config sets a Machine's limits.
+// Config sets the deadline, retries and size limits of a Machine.
 type Config struct {
-	// Deadline bounds the time for one change, so that the operator is told
-	// an outcome while the platform is away.
+	// Deadline bounds the time for one change, so that the operator gets an
+	// outcome even while the platform is unreachable.
 	Deadline time.Duration
-	// MaxConflicts bounds how often the head may be moved by others while
-	// the change is prepared.
+	// MaxConflicts bounds how often the transaction of one change may fail
+	// because the head was moved by another change.
 	MaxConflicts int
-	// RetryMin is the largest first wait before another try. It doubles with
-	// each try; the actual wait is random, so that accepters that race each
-	// other spread out.
+	// RetryMin bounds the delay before the first retry. The bound doubles with
+	// each retry up to RetryMax; the delay is drawn at random below it, so that
+	// competing accepters spread out.
 	RetryMin time.Duration
-	// RetryMax is the largest wait before another try.
+	// RetryMax bounds the delay before any retry.
 	RetryMax time.Duration
-	// MaxFull is the largest encoded whole version in bytes. It bounds what a
-	// node that starts has to load.
+	// MaxFull is the largest size of an encoded full version in bytes. It
+	// bounds what a starting node has to load.
 	MaxFull int
-	// MaxDelta is the largest encoded delta of one change in bytes.
+	// MaxDelta is the largest size of the encoded delta of one change in bytes.
 	MaxDelta int
-	// Validate checks the documents of a change on their own. It is called
-	// before anything is read.
+	// Validate checks the documents of a change without regard to the current
+	// version. It is called before anything is read from the platform.
 	Validate func(*model.Batch) error
-	// Seed seeds the random waits.
+	// Seed seeds the random delays.
 	Seed uint64
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		Deadline:     10 * time.Second,
--- a/coordination/accept/doc.go
+++ b/coordination/accept/doc.go
@@ -1,27 +1,27 @@
-// Package accept decides how one change of the configuration is accepted: taken
-// whole as the next version, or refused with nothing changed.
+// Package accept decides on one change of the configuration: it is accepted whole
+// as the next version, or rejected and changes nothing.
 //
-// A version is accepted at the moment when the head item names it. The head is
-// moved by one conditional transaction, which also creates the change's own
-// record; the version's objects are stored before. So a crash at any step
-// leaves the old version or the new one, and a change id takes effect at most
-// once, however often it is sent and through however many nodes.
+// A version is accepted at the moment when the head item names it. One conditional
+// transaction moves the head and creates the change's record; the version's objects
+// are stored before that. So a crash at any step leaves either the old version or
+// the new one in force, and a change id takes effect at most once, however often
+// and through however many nodes it is sent.
 //
-// When the answer to the transaction is lost, it may have taken effect or may
-// do so later. Machine then reads the head and the record:
+// When the response to the transaction is lost, the transaction is in doubt: it may
+// have taken effect or may do so later. Machine then reads the head and the record:
 //
 //   - The record exists: the change is accepted.
-//   - The head has moved and there is no record: the lost transaction can't
+//   - The head has moved and there is no record: the transaction in doubt can't
 //     take effect any more, since its condition names the earlier revision and
-//     revisions only rise. The change starts again from the new head.
-//   - The head has not moved: the transaction may still be on its way. The same
-//     transaction is sent again. Both have the same condition, so at most one of
-//     them takes effect.
+//     revisions only increase. The change is prepared again from the new head.
+//   - The head has not moved: the transaction in doubt may still take effect. The
+//     same transaction is sent again. Both have the same condition, so at most one
+//     of them takes effect.
 //
-// Only when none of this can be read before the deadline is the outcome called
-// unknown. The operator then sends the change again with Resend set. The lost
-// transaction of the first send depends on the head's revision of that time; if
-// the head has not moved and the second send has to answer "no", it first writes
-// the head again unchanged. That moves the revision and so ends the lost
-// transaction for certain.
+// The outcome is reported as unknown only when none of these cases could be
+// established before the deadline. The operator then sends the change again with
+// Resend set. The transaction in doubt depends on the head's revision at the time of
+// the first send. If the head has not moved since and the second send has to reject
+// the change, it first acts as a fence: it writes the head again unchanged, which
+// raises the revision, so the transaction in doubt can never take effect.
 package accept
--- a/coordination/accept/errors.go
+++ b/coordination/accept/errors.go
@@ -7,14 +7,14 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// ConflictError reports that a document was changed since the operator read
-// it. Nothing was changed by this change.
+// ConflictError reports that a document was changed after the operator read it.
+// The rejected change had no effect.
 type ConflictError struct {
 	// Document is the first document in conflict.
 	Document DocumentKey
 	// Base is the revision that the change is based on.
 	Base uint64
-	// Current is the document's revision; 0 when it does not exist.
+	// Current is the document's current revision; 0 when it does not exist.
 	Current uint64
 }
 
@@ -23,10 +23,11 @@
 	return fmt.Sprintf("%s has revision %d, the change is based on %d", e.Document, e.Current, e.Base)
 }
 
-// InvalidError reports documents that break a rule, alone or together with the
-// documents in force. Nothing was changed.
+// InvalidError reports a change that can't become a version: its id or a document
+// breaks a rule, alone or together with the documents in force, or the version can't
+// be encoded within the size limits. The change had no effect.
 type InvalidError struct {
-	// Err says which rule.
+	// Err is the cause.
 	Err error
 }
 
@@ -36,12 +37,12 @@
 // Unwrap returns the cause.
 func (e *InvalidError) Unwrap() error { return e.Err }
 
-// ChangeIDError reports a change whose id was accepted with other content.
-// Nothing was changed by this change.
+// ChangeIDError reports that another change, with other content, was accepted under
+// the same id. The rejected change had no effect.
 type ChangeIDError struct {
 	// ID is the change id.
 	ID string
-	// Version is the version that accepted it with other content.
+	// Version is the version in which the other change was accepted.
 	Version uint64
 }
 
@@ -50,36 +51,36 @@
 	return fmt.Sprintf("change id %s was used for other documents in version %d", e.ID, e.Version)
 }
 
-// RefusedError reports a change that was certainly not taken.
+// RefusedError reports a change that was certainly not accepted.
 type RefusedError struct {
 	// Err is the cause.
 	Err error
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string { return "change not taken: " + e.Err.Error() }
+func (e *RefusedError) Error() string { return "change not accepted: " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *RefusedError) Unwrap() error { return e.Err }
 
-// UnknownOutcomeError reports a change that may have been taken, or may still
-// be. Sending the same change with the same id again settles it.
+// UnknownOutcomeError reports a change that may have been accepted or may still
+// be. Sending the same change again with the same id determines the outcome.
 type UnknownOutcomeError struct {
 	// ID is the change id.
 	ID string
-	// Err is why it could not be settled.
+	// Err is why the outcome could not be determined.
 	Err error
 }
 
 // Error implements error.
 func (e *UnknownOutcomeError) Error() string {
-	return "change " + e.ID + " may have been taken, send it again with the same id to settle it: " + e.Err.Error()
+	return "change " + e.ID + " may have been accepted; send it again with the same id to determine the outcome: " + e.Err.Error()
 }
 
 // Unwrap returns the cause.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Err }
 
-// ChangeIDFormatError reports a change id that can't be used.
+// ChangeIDFormatError reports a change id that is not of the required form.
 type ChangeIDFormatError struct {
 	// ID is the change id.
 	ID string
@@ -101,7 +102,7 @@
 
 // SizeError reports a version or delta that is too large.
 type SizeError struct {
-	// What is "version" or "delta".
+	// What names the encoded object: "version" or "delta".
 	What string
 	// Size and Limit are in bytes.
 	Size, Limit int
@@ -112,22 +113,23 @@
 	return fmt.Sprintf("%s has %d bytes encoded, the limit is %d", e.What, e.Size, e.Limit)
 }
 
-// ContentionError reports that others kept moving the head.
+// ContentionError reports that the transaction of a change failed Config.MaxConflicts
+// times because other changes had moved the head.
 type ContentionError struct {
-	// Conflicts is the number of lost races.
+	// Conflicts is the number of transactions that failed.
 	Conflicts int
 }
 
 // Error implements error.
 func (e *ContentionError) Error() string {
-	return fmt.Sprintf("other changes came first %d times", e.Conflicts)
+	return fmt.Sprintf("other changes moved the head first %d times", e.Conflicts)
 }
 
-// TimeoutError reports that the deadline of a change passed.
+// TimeoutError reports that a change's deadline passed without an outcome.
 type TimeoutError struct {
-	// After is the time given.
+	// After is the time that the change was given, Config.Deadline.
 	After time.Duration
-	// Err is the last failure; nil when there was none.
+	// Err is the last error before the deadline; nil when there was none.
 	Err error
 }
 
@@ -139,13 +141,14 @@
 	return "no outcome after " + e.After.String() + ": " + e.Err.Error()
 }
 
-// Unwrap returns the last failure.
+// Unwrap returns the last error.
 func (e *TimeoutError) Unwrap() error { return e.Err }
 
-// RevertedError reports a head that is older than a version already held: the
-// table service has lost writes. Nothing may be accepted on top of it.
+// RevertedError reports a head that names an older version than one accepted
+// before, or a different one with the same number: the table service has lost writes. No
+// change may be accepted on top of such a head.
 type RevertedError struct {
-	// Held is the version held.
+	// Held is the newest version that the accepter holds.
 	Held snapshot.Ref
 	// Head is the version that the head names.
 	Head snapshot.Ref
@@ -156,7 +159,7 @@
 	return fmt.Sprintf("head names version %d, but %d was accepted before", e.Head.Version, e.Held.Version)
 }
 
-// DecodeError reports an item that can't be decoded.
+// DecodeError reports an item of the table service that can't be decoded.
 type DecodeError struct {
 	// Key is the item's key.
 	Key string
--- a/coordination/accept/events.go
+++ b/coordination/accept/events.go
@@ -6,75 +6,74 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// Result says what became of a call of the platform.
+// Result is the outcome of a call to the platform.
 type Result uint8
 
-// The results.
+// The outcomes of a call.
 const (
 	// Done means that the call succeeded.
 	Done Result = iota
 	// Failed means that the call certainly had no effect.
 	Failed
-	// Unknown means that the call may have had its effect, or may still have
-	// it.
+	// Unknown means that the call may have taken effect or may still do so.
 	Unknown
-	// ConditionFailed means that the transaction was refused whole because
-	// an item did not have the required revision.
+	// ConditionFailed means that the whole transaction was rejected because an
+	// item did not have the required revision.
 	ConditionFailed
 )
 
-// Start begins the change.
+// Start is the first event of a machine.
 type Start struct{}
 
 // Cancel ends the change early.
 type Cancel struct {
-	// Err is why.
+	// Err is the reason.
 	Err error
 }
 
-// HeadRead answers ReadHead.
+// HeadRead is the result of ReadHead.
 type HeadRead struct {
 	// Result is Done or Failed.
 	Result Result
-	// Err is the failure.
+	// Err is the error; nil when Result is Done.
 	Err error
-	// Head is the head; the zero Head with Revision 0 when there is none.
+	// Head is the head; the zero Head, with Revision 0, when there is none.
 	Head Head
 	// Revision is the head item's revision.
 	Revision uint64
 }
 
-// RecordRead answers ReadRecord.
+// RecordRead is the result of ReadRecord.
 type RecordRead struct {
 	// Result is Done or Failed.
 	Result Result
-	// Err is the failure.
+	// Err is the error; nil when Result is Done.
 	Err error
 	// Record is the change's record; nil when there is none.
 	Record *Record
 }
 
-// BaseLoaded answers LoadBase.
+// BaseLoaded is the result of LoadBase.
 type BaseLoaded struct {
-	// Err is the failure; nil when Snapshot is set.
+	// Err is the error; nil when Snapshot is set.
 	Err error
-	// Snapshot is the version asked for.
+	// Snapshot is the requested version.
 	Snapshot *snapshot.Snapshot
 }
 
-// ObjectPut answers PutObject.
+// ObjectPut is the result of PutObject.
 type ObjectPut struct {
 	// Result is Done, Failed or Unknown.
 	Result Result
-	// Err is the failure.
+	// Err is the error; nil when Result is Done.
 	Err error
 }
 
-// HeadWritten answers WriteHead.
+// HeadWritten is the result of WriteHead.
 type HeadWritten struct {
-	// Result is any Result.
+	// Result is any of the outcomes.
 	Result Result
-	// Err is the failure.
+	// Err is the error; nil when Result is Done.
 	Err error
 }
 
@@ -99,53 +98,54 @@
 // Event implements core.Event.
 func (HeadWritten) Event() {}
 
-// ReadHead asks for a consistent read of HeadKey.
+// ReadHead requests a consistent read of the head item, HeadKey.
 type ReadHead struct{}
 
-// ReadRecord asks for a consistent read of the change's record. It is sent only
-// after the answer to ReadHead, so that the record is at least as new as the
-// head.
+// ReadRecord requests a consistent read of the change's record. It follows only on
+// the result of ReadHead, so that the record is at least as recent as the head.
 type ReadRecord struct {
-	// ChangeID is the change.
+	// ChangeID is the change's id.
 	ChangeID string
 }
 
-// LoadBase asks for the version that the head names.
+// LoadBase requests the version that the head names.
 type LoadBase struct {
-	// Held is a version already held; it may be the empty one.
+	// Held is a version that the accepter holds already, to which deltas may be
+	// applied; it may be the empty one.
 	Held *snapshot.Snapshot
-	// Head names the version.
+	// Head is the head.
 	Head Head
 }
 
-// PutObject asks for an object to be stored.
+// PutObject requests that an object be stored.
 type PutObject struct {
-	// Key and Body are the object.
+	// Key and Body are the object's key and content.
 	Key  string
 	Body []byte
 }
 
-// WriteHead asks for one transaction that writes the head item and creates the
-// change's record, on condition that the head item has revision HeadRevision
-// and that the record does not exist. Without a Record it writes the head only.
+// WriteHead requests one transaction that writes the head item and creates the
+// change's record, on condition that the head item has revision HeadRevision and
+// that the record does not exist. Without a Record it writes the head item only.
 type WriteHead struct {
-	// HeadRevision is the revision that the head item must have; 0 means that
-	// it must not exist.
+	// HeadRevision is the revision that the head item must have; 0 requires
+	// that it does not exist.
 	HeadRevision uint64
 	// Head is the head item's new value.
 	Head []byte
-	// RecordKey and Record are the change's record; empty for none.
+	// RecordKey and Record are the key and value of the change's record; empty
+	// for none.
 	RecordKey string
 	Record    []byte
 }
 
-// Wait asks for a core.Tick at the given time or later.
+// Wait requests a core.Tick at the given time or later.
 type Wait struct {
 	// Until is the time.
 	Until time.Time
 }
 
-// Finish ends the change.
+// Finish reports the outcome of the change. It is the last action.
 type Finish struct {
 	// Accepted is set when Err is nil.
 	Accepted Accepted
@@ -154,11 +154,12 @@
 	Err error
 }
 
-// Accepted says that a change is accepted.
+// Accepted is the outcome of a change that was accepted.
 type Accepted struct {
-	// Ref is the version that accepted the change.
+	// Ref is the version in which the change was accepted.
 	Ref snapshot.Ref
-	// Repeated says that the change had been accepted before.
+	// Repeated is set when the change had already been accepted by an earlier
+	// send.
 	Repeated bool
 }
 
--- a/coordination/accept/head.go
+++ b/coordination/accept/head.go
@@ -13,28 +13,30 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// Keys in the table service and prefixes of objects.
+// Keys of items in the table service and of objects in the object store.
 const (
 	// HeadKey is the key of the item that names the current version.
 	HeadKey = "config/head"
-	// RecordPrefix starts the key of each change's record.
+	// RecordPrefix is the prefix of the item keys of changes' records.
 	RecordPrefix = "config/change/"
-	// FullPrefix starts the key of each whole version.
+	// FullPrefix is the prefix of the object keys of full versions.
 	FullPrefix = "config/full/"
-	// DeltaPrefix starts the key of each delta from the version before.
+	// DeltaPrefix is the prefix of the object keys of deltas, each from the
+	// preceding version.
 	DeltaPrefix = "config/delta/"
 )
 
-// RecentLength is the number of versions that the head lists, itself included,
-// and so the largest number of deltas that lead to it. It is small because each
-// zone's reader polls the head.
+// RecentLength is the largest number of versions that the head lists, the current
+// one included, and so the largest number of deltas that lead to it from an
+// older one. It is small because each zone's reader polls the head.
 const RecentLength = 16
 
-// Head names the current version. The zero Head stands before the first one.
+// Head is the value of the head item, which names the current version. The zero
+// Head precedes the first version.
 type Head struct {
 	// Ref is the current version.
 	Ref snapshot.Ref `cbor:"1,keyasint"`
-	// Recent lists the newest versions, the current one first, without gaps.
+	// Recent lists the newest versions, consecutive and the current one first.
 	Recent []Entry `cbor:"2,keyasint"`
 }
 
@@ -42,44 +44,44 @@
 type Entry struct {
 	// Ref is the version.
 	Ref snapshot.Ref `cbor:"1,keyasint"`
-	// ChangeID names the change that it accepted.
+	// ChangeID is the id of the change that was accepted in it.
 	ChangeID string `cbor:"2,keyasint"`
-	// Accepted is when it was accepted, in milliseconds since 1970 by the
-	// accepter's clock. It is for operators; no decision uses it.
+	// Accepted is when it was accepted, in Unix milliseconds by the accepter's
+	// clock. It is for operators; no decision depends on it.
 	Accepted int64 `cbor:"3,keyasint"`
 }
 
-// Time returns when the version was accepted.
+// Time returns when the version was accepted, by the accepter's clock.
 func (e Entry) Time() time.Time { return time.UnixMilli(e.Accepted) }
 
-// Record is the proof that a change was accepted. It is created in the
-// transaction that moves the head.
+// Record is the proof that a change was accepted. The transaction that moves the
+// head creates it.
 type Record struct {
-	// Entry is the version that accepted the change.
+	// Entry is the version in which the change was accepted.
 	Entry Entry `cbor:"1,keyasint"`
 	// Sum is the hash of the change's content.
 	Sum Sum `cbor:"2,keyasint"`
-	// Previous is the change before; empty for the first one.
+	// Previous is the id of the preceding change; empty for the first one.
 	Previous string `cbor:"3,keyasint,omitempty"`
 }
 
-// RecordKey returns the table key of a change's record.
+// RecordKey returns the item key of a change's record.
 func RecordKey(changeID string) string { return RecordPrefix + changeID }
 
-// FullKey returns the object key of a whole version. Keys are in order of
-// version.
+// FullKey returns the object key of a full version. The keys sort by version.
 func FullKey(r snapshot.Ref) string { return FullPrefix + objectName(r) }
 
-// DeltaKey returns the object key of the delta that leads to a version from the
-// one before.
+// DeltaKey returns the object key of the delta to a version from the preceding one.
+// The keys sort by version.
 func DeltaKey(r snapshot.Ref) string { return DeltaPrefix + objectName(r) }
 
+// objectName returns the version's number, padded to sort, and its hash.
 func objectName(r snapshot.Ref) string {
 	return fmt.Sprintf("%020d-%s", r.Version, hex.EncodeToString(r.Hash[:]))
 }
 
-// ObjectVersion returns the version in an object's key; false for a key that is
-// not of FullKey's or DeltaKey's form.
+// ObjectVersion returns the version number in an object key; false for a key that
+// is not of the form of FullKey or DeltaKey.
 func ObjectVersion(key string) (uint64, bool) {
 	name, full := strings.CutPrefix(key, FullPrefix)
 	if !full {
@@ -96,8 +98,8 @@
 	return v, err == nil
 }
 
-// DecodeHead decodes the head item's value. Nothing is the zero Head. The error
-// is a *DecodeError.
+// DecodeHead decodes the head item's value; an empty one decodes to the zero Head.
+// The error is a *DecodeError.
 func DecodeHead(b []byte) (Head, error) {
 	var h Head
 	if len(b) == 0 {
@@ -119,7 +121,7 @@
 	return r, nil
 }
 
-// advance returns the head after e.
+// advance returns the head that follows h once e is accepted.
 func (h Head) advance(e Entry) Head {
 	keep := h.Recent[:min(len(h.Recent), RecentLength-1)]
 	recent := make([]Entry, 0, len(keep)+1)
@@ -128,8 +130,9 @@
 	return Head{Ref: e.Ref, Recent: recent}
 }
 
-// last returns the id of the change that the head accepted.
-func (h Head) last() string {
+// lastChangeID returns the id of the change that was accepted last; empty for the
+// zero Head.
+func (h Head) lastChangeID() string {
 	if len(h.Recent) == 0 {
 		return ""
 	}
--- a/coordination/accept/machine.go
+++ b/coordination/accept/machine.go
@@ -8,8 +8,9 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// Machine accepts one change. It has one action under way at a time. It is not
-// safe for concurrent use.
+// Machine is the state machine that accepts or rejects one change. It returns one
+// action at a time and waits for the event that reports its result. It is not safe
+// for concurrent use.
 type Machine struct {
 	cfg    Config
 	change Change
@@ -17,33 +18,35 @@
 	random *rand.Rand
 
 	deadline  time.Time
-	wake      time.Time
-	tries     int
+	retryAt   time.Time
+	retries   int
 	conflicts int
 	lastErr   error
 	finished  bool
 
 	head         Head
 	headRevision uint64
-	base         *snapshot.Snapshot // the newest version known to be accepted
+	base         *snapshot.Snapshot // newest version known to be accepted and held
 	candidate    *candidate
 
-	// doubtRevision is the head revision on which a transaction with unknown
-	// outcome depends; inDoubt says that there is one. All transactions of
-	// unknown outcome depend on the same revision: a later one is sent only
-	// once the head is known to have moved.
-	inDoubt       bool
-	doubtRevision uint64
-	// seen says that the head was read at least once.
-	seen bool
-	// sent says that a transaction was sent at all.
-	sent bool
-	// fencing says that the transaction under way rewrites the head unchanged.
+	// inDoubt is set while a transaction with an unknown outcome may still take
+	// effect; inDoubtRevision is the head revision that its condition requires.
+	// If there are several, all require the same revision: a transaction on
+	// another revision is sent only once the head is known to have moved.
+	inDoubt         bool
+	inDoubtRevision uint64
+	// headSeen is set once the head has been read.
+	headSeen bool
+	// transactionSent is set once a transaction that creates the record was
+	// returned as an action.
+	transactionSent bool
+	// fencing is set while the pending transaction is a fence, which writes the
+	// head unchanged.
 	fencing bool
 }
 
-// New returns the machine of one change. held is the newest version held, which
-// saves loading it; snapshot.Empty() when there is none.
+// New returns the machine of one change. held is the newest accepted version that
+// the caller holds, which saves loading it; snapshot.Empty() when there is none.
 func New(cfg Config, change Change, held *snapshot.Snapshot) *Machine {
 	return &Machine{
 		cfg:    cfg,
@@ -56,9 +59,9 @@
 // Newest returns the newest version that is known to be accepted and held.
 func (m *Machine) Newest() *snapshot.Snapshot { return m.base }
 
-// Step takes an event and returns the next action: the events are Start,
-// Cancel, core.Tick after a Wait, and the answer to each action. It returns
-// nothing after Finish and for a Tick that is early.
+// Step handles an event and returns the next action. The events are Start, Cancel,
+// core.Tick after a Wait, and the result of each action. It returns nothing after
+// Finish, for a Tick before the time of the Wait, and for an unknown event.
 func (m *Machine) Step(now time.Time, ev core.Event) []core.Action {
 	if m.finished {
 		return nil
@@ -67,20 +70,21 @@
 	if a == nil {
 		return nil
 	}
-	if _, end := a.(Finish); end {
+	if _, finished := a.(Finish); finished {
 		m.finished = true
 	}
 	return []core.Action{a}
 }
 
+// next returns the action that follows an event; nil for none.
 func (m *Machine) next(now time.Time, ev core.Event) core.Action {
 	switch e := ev.(type) {
 	case Start:
 		return m.start(now)
 	case Cancel:
-		return m.giveUp(e.Err)
+		return m.abandon(e.Err)
 	case core.Tick:
-		if now.Before(m.wake) {
+		if now.Before(m.retryAt) {
 			return nil
 		}
 		return ReadHead{}
@@ -99,6 +103,7 @@
 	}
 }
 
+// start checks the change on its own and begins to read the platform's state.
 func (m *Machine) start(now time.Time) core.Action {
 	m.deadline = now.Add(m.cfg.Deadline)
 	if err := m.change.check(m.cfg.Validate); err != nil {
@@ -112,46 +117,50 @@
 	return ReadHead{}
 }
 
+// headRead records the head and continues with the change's record.
 func (m *Machine) headRead(now time.Time, e HeadRead) core.Action {
 	if e.Result != Done {
 		return m.retry(now, e.Err)
 	}
 	held := m.base.Ref()
 	if e.Head.Ref != held && !e.Head.Ref.Newer(held) {
-		return m.giveUp(&RevertedError{Held: held, Head: e.Head.Ref})
+		return m.abandon(&RevertedError{Held: held, Head: e.Head.Ref})
 	}
-	if m.change.Resend && !m.seen {
-		// A transaction of the earlier send depends on this revision or on
-		// one that the head has left already.
+	if m.change.Resend && !m.headSeen {
+		// A transaction in doubt from the earlier send requires this revision,
+		// or an earlier one that the head has left already.
 		m.inDoubt = true
-		m.doubtRevision = e.Revision
+		m.inDoubtRevision = e.Revision
 	}
-	m.seen = true
+	m.headSeen = true
 	m.head = e.Head
 	m.headRevision = e.Revision
 	return ReadRecord{ChangeID: m.change.ID}
 }
 
+// recordRead decides, from the head and the record, whether the change is already
+// accepted, is abandoned, or is to be prepared or written next.
 func (m *Machine) recordRead(now time.Time, e RecordRead) core.Action {
 	if e.Result != Done {
 		return m.retry(now, e.Err)
 	}
 	if e.Record != nil {
-		return m.settled(e.Record)
+		return m.finishRecorded(e.Record)
 	}
-	if m.inDoubt && m.headRevision != m.doubtRevision {
-		// The transaction in doubt requires a revision that the head has left
-		// for ever, and there is no record: it had no effect and never will.
+	if m.inDoubt && m.headRevision != m.inDoubtRevision {
+		// The transaction in doubt requires a revision that the head will
+		// never have again, and there is no record, so the transaction has had
+		// no effect and never will.
 		m.inDoubt = false
 	}
 	if !now.Before(m.deadline) {
-		return m.giveUp(&TimeoutError{After: m.cfg.Deadline, Err: m.lastErr})
+		return m.abandon(&TimeoutError{After: m.cfg.Deadline, Err: m.lastErr})
 	}
 	if m.conflicts >= m.cfg.MaxConflicts {
-		return m.giveUp(&ContentionError{Conflicts: m.conflicts})
+		return m.abandon(&ContentionError{Conflicts: m.conflicts})
 	}
 	if m.candidate != nil && m.candidate.headRevision == m.headRevision {
-		return m.store()
+		return m.nextWrite()
 	}
 	if m.base.Ref() != m.head.Ref {
 		return LoadBase{Held: m.base, Head: m.head}
@@ -159,16 +168,17 @@
 	return m.propose(now)
 }
 
-// settled ends a change whose id has a record.
-func (m *Machine) settled(r *Record) core.Action {
+// finishRecorded ends a change whose id has a record, which decides the outcome.
+func (m *Machine) finishRecorded(r *Record) core.Action {
 	if r.Sum != m.sum {
-		// A record with other content also rules out any transaction in
-		// doubt, which requires that there is none.
+		// A record with other content also rules out any transaction in doubt,
+		// which requires that the record does not exist.
 		return Finish{Err: &ChangeIDError{ID: m.change.ID, Version: r.Entry.Ref.Version}}
 	}
-	return Finish{Accepted: Accepted{Ref: r.Entry.Ref, Repeated: !m.sent}}
+	return Finish{Accepted: Accepted{Ref: r.Entry.Ref, Repeated: !m.transactionSent}}
 }
 
+// baseLoaded records the head's version and prepares the next one.
 func (m *Machine) baseLoaded(now time.Time, e BaseLoaded) core.Action {
 	if e.Err != nil {
 		return m.retry(now, e.Err)
@@ -177,7 +187,9 @@
 	return m.propose(now)
 }
 
-// propose builds the next version on m.base, which is the head's.
+// propose prepares the version that follows m.base, the head's version, and begins
+// to write it. While a transaction is in doubt, a change that is to be rejected is
+// fenced first.
 func (m *Machine) propose(now time.Time) core.Action {
 	c, err := m.prepare(now)
 	if err != nil && m.inDoubt {
@@ -187,23 +199,25 @@
 		return Finish{Err: err}
 	}
 	m.candidate = c
-	return m.store()
+	return m.nextWrite()
 }
 
-// fence writes the head again unchanged. Its new revision ends every transaction
-// in doubt; the change is then weighed again. The machine's own transactions
-// never need it: while the head has not moved, its candidate is sent again.
+// fence writes the head again unchanged. The new revision rules out every
+// transaction in doubt; the change is then evaluated again. Only transactions of an
+// earlier send need it: for the machine's own ones, the candidate is sent again
+// while the head has not moved.
 func (m *Machine) fence() core.Action {
 	head, err := encode(&m.head)
 	if err != nil {
-		return m.giveUp(err)
+		return m.abandon(err)
 	}
 	m.fencing = true
 	return WriteHead{HeadRevision: m.headRevision, Head: head}
 }
 
-// store returns the candidate's next step: its objects first, then the head.
-func (m *Machine) store() core.Action {
+// nextWrite returns the candidate's next write: first its objects, then the
+// transaction.
+func (m *Machine) nextWrite() core.Action {
 	c := m.candidate
 	switch {
 	case !c.fullStored:
@@ -211,7 +225,7 @@
 	case !c.deltaStored:
 		return PutObject{Key: DeltaKey(c.entry.Ref), Body: c.delta}
 	}
-	m.sent = true
+	m.transactionSent = true
 	return WriteHead{
 		HeadRevision: c.headRevision,
 		Head:         c.head,
@@ -220,9 +234,10 @@
 	}
 }
 
+// objectPut records that an object is stored, or retries.
 func (m *Machine) objectPut(now time.Time, e ObjectPut) core.Action {
 	if e.Result != Done {
-		// Storing the same object again is harmless.
+		// A retry is safe: storing the same object again is idempotent.
 		return m.retry(now, e.Err)
 	}
 	if c := m.candidate; c.fullStored {
@@ -230,9 +245,10 @@
 	} else {
 		c.fullStored = true
 	}
-	return m.store()
+	return m.nextWrite()
 }
 
+// headWritten ends an accepted change; in all other cases the state is read again.
 func (m *Machine) headWritten(now time.Time, e HeadWritten) core.Action {
 	if m.fencing {
 		m.fencing = false
@@ -246,15 +262,16 @@
 		return m.retry(now, e.Err)
 	case Unknown:
 		m.inDoubt = true
-		m.doubtRevision = m.candidate.headRevision
+		m.inDoubtRevision = m.candidate.headRevision
 	case ConditionFailed:
 		m.conflicts++
 	}
 	return m.reread(now, e.Err)
 }
 
-// reread reads the state again, once even past the deadline, to settle what a
-// transaction has done.
+// reread reads the head and the record again to determine whether a transaction
+// took effect. Before the deadline it does so after a delay; after the deadline at
+// once, and for the last time.
 func (m *Machine) reread(now time.Time, err error) core.Action {
 	if !now.Before(m.deadline) {
 		m.lastErr = err
@@ -263,24 +280,26 @@
 	return m.retry(now, err)
 }
 
-// retry waits before the state is read again, or gives up past the deadline.
+// retry reads the state again after a random delay with exponential backoff, or
+// abandons the change after the deadline.
 func (m *Machine) retry(now time.Time, err error) core.Action {
 	m.lastErr = err
 	if !now.Before(m.deadline) {
-		return m.giveUp(&TimeoutError{After: m.cfg.Deadline, Err: err})
+		return m.abandon(&TimeoutError{After: m.cfg.Deadline, Err: err})
 	}
-	limit := min(m.cfg.RetryMax, m.cfg.RetryMin<<min(m.tries, maxDoublings))
-	m.tries++
-	m.wake = now.Add(time.Duration(m.random.Int64N(int64(limit))) + 1)
-	return Wait{Until: m.wake}
+	limit := min(m.cfg.RetryMax, m.cfg.RetryMin<<min(m.retries, maxDoublings))
+	m.retries++
+	m.retryAt = now.Add(time.Duration(m.random.Int64N(int64(limit))) + 1)
+	return Wait{Until: m.retryAt}
 }
 
-// maxDoublings bounds the doubling of the wait.
+// maxDoublings bounds the exponent of the backoff.
 const maxDoublings = 10
 
-// giveUp ends the change without it being known to be accepted. Of a change that
-// was sent before, no failure of this send can say that it was not taken.
-func (m *Machine) giveUp(err error) core.Action {
+// abandon ends a change that is not known to be accepted. While a transaction is in
+// doubt the outcome is unknown; it is also unknown for a change that was sent before, since
+// a failure of this send does not prove that the earlier one had no effect.
+func (m *Machine) abandon(err error) core.Action {
 	if m.inDoubt || m.change.Resend {
 		return Finish{Err: &UnknownOutcomeError{ID: m.change.ID, Err: err}}
 	}
