--- a/coordination/docsync/config.go
+++ b/coordination/docsync/config.go
@@ -35,11 +35,11 @@
 	// it.
 	QuickRanks int
 	// TurnDelay is how much longer than its predecessor each member after the
-	// first QuickRanks waits before it takes over. Times the number of live
-	// members it is the least backoff of a member whose read has failed, except
-	// for leaders. While the store serves nobody, the members that are no leaders
-	// therefore make together about one read per TurnDelay, whatever their number:
-	// in an outage of 8 s a zone of 60 makes 39 reads instead of 365
+	// first QuickRanks waits before it takes over. TurnDelay times the number of
+	// live members is the least backoff of a member whose read has failed; leaders
+	// have no such minimum. While the store serves nobody, a zone therefore makes
+	// about one read per TurnDelay besides those of its leaders, whatever its
+	// size: in an outage of 8 s a zone of 60 makes 39 reads instead of 365
 	// (TestReadsDuringAStoreOutageDontGrowWithTheZone).
 	TurnDelay time.Duration
 	// FetchTimeout is how long a peer may take to send a document before
--- a/coordination/docsync/core.go
+++ b/coordination/docsync/core.go
@@ -24,7 +24,7 @@
 	out  []core.Action
 
 	started time.Time
-	// held and body are the newest document that the core had applied.
+	// held and body are the version and the content of the last Apply.
 	held     uint64
 	body     []byte
 	rejected uint64 // newest version that could not be used
@@ -46,7 +46,7 @@
 	singleRead   bool // the last SetReading was for one read only
 	leading      bool // this node reads for the zone, not only for its own start
 	failures     int  // failed reads in a row
-	retryAt      time.Time
+	retryAt      time.Time // no read before this time
 	sequence     uint64
 	nextBeaconAt time.Time // when this node sends its next beacon
 	// beacons holds the newest beacon of each reader.
@@ -85,8 +85,7 @@
 	}
 }
 
-// Held returns the version of the newest document that the core had applied;
-// 0 for none.
+// Held returns the version of the last Apply; 0 before the first.
 func (c *Core) Held() uint64 { return c.held }
 
 // Reading reports whether this node reads the store.
@@ -200,8 +199,8 @@
 }
 
 // bestSource returns the peer to fetch a newer document from; empty for none. It prefers peers of
-// the same zone, uses a peer of another zone only after FarFetchDelay, and returns the failed peer
-// only if there is no other.
+// the same zone, uses a peer of another zone only after FarFetchDelay, and avoids the peer whose
+// request has just failed.
 func (c *Core) bestSource(failed model.NodeID) model.NodeID {
 	known := c.newestKnown()
 	var best model.NodeID
@@ -225,8 +224,8 @@
 }
 
 // handleDocument handles a peer's document. A recently started node keeps it pending until a read
-// of the store has succeeded at this node or at a reader of the zone: the peer may be cut off from
-// newer documents.
+// of the store has succeeded at this node or at a reader of the zone, or StartWait is over: the peer
+// may be cut off from newer documents.
 func (c *Core) handleDocument(from model.NodeID, d *message.Document) {
 	if c.fetch.source == from {
 		c.fetch = fetch{}
@@ -257,13 +256,14 @@
 	if ev.Version > c.held && ev.Version > c.rejected {
 		c.apply(ev.Version, ev.Body, "")
 	}
-	if w := c.pending; w != nil {
-		c.apply(w.Version, w.Body, c.pendingFrom)
+	if d := c.pending; d != nil {
+		c.apply(d.Version, d.Body, c.pendingFrom)
 	}
 	c.sendBeacon()
 }
 
-// apply has a newer document applied and advertises it to the peers that don't hold it.
+// apply emits Apply if the document is newer than the held one, and advertises it to the peers that
+// don't hold it.
 func (c *Core) apply(version uint64, body []byte, from model.NodeID) {
 	c.pending = nil
 	if version <= c.held {
--- a/coordination/docsync/core_test.go
+++ b/coordination/docsync/core_test.go
@@ -222,8 +222,8 @@
 }
 
 // Guards against a takeover by each member of a zone in turn while the store is unavailable. In a
-// fleet of 295 hosts an outage of 8 s so about doubled the calls of a whole day, to 5,576. The
-// leaders must read again soon after the outage nevertheless.
+// fleet of 295 hosts, an outage of 8 s about doubled the calls of a day this way, to 5,576. The
+// limit must not delay the first reads after the outage.
 func TestReadsDuringAStoreOutageDontGrowWithTheZone(t *testing.T) {
 	const outage = 8 * time.Second
 	reads := func(members int) int {
--- a/coordination/docsync/reading.go
+++ b/coordination/docsync/reading.go
@@ -124,8 +124,8 @@
 		return
 	}
 	c.beacons[m.Reader] = beacon{incarnation: m.Incarnation, sequence: m.Sequence, epoch: m.Life, receivedAt: c.now}
-	if w := c.pending; w != nil {
-		c.apply(w.Version, w.Body, c.pendingFrom)
+	if d := c.pending; d != nil {
+		c.apply(d.Version, d.Body, c.pendingFrom)
 	}
 	c.resetBackoff()
 	c.relay(from, m)
