--- a/coordination/claim/config.go
+++ b/coordination/claim/config.go
@@ -13,16 +13,16 @@
 	// RunLimit is the longest time that a request may run. An older claim
 	// without a response never gets one.
 	RunLimit time.Duration
-	// InProgressRetry is the Retry-After delay of a retry while the first
+	// InProgressRetryAfter is the Retry-After delay of a retry while the first
 	// request runs.
-	InProgressRetry time.Duration
-	// PlatformRetry is the Retry-After delay while the table service is
+	InProgressRetryAfter time.Duration
+	// PlatformRetryAfter is the Retry-After delay while the table service is
 	// unavailable.
-	PlatformRetry time.Duration
-	// SettleRetry is the first backoff of settling, the background work that
+	PlatformRetryAfter time.Duration
+	// SettleRetryMin is the first backoff of settling, the background work that
 	// writes the final record or releases the claim. It doubles up to
 	// SettleRetryMax.
-	SettleRetry time.Duration
+	SettleRetryMin time.Duration
 	// SettleRetryMax bounds the backoff of settling.
 	SettleRetryMax time.Duration
 	// SettleFor is how long after its start a request may still write its
@@ -37,14 +37,14 @@
 // DefaultConfig returns the default limits and delays.
 func DefaultConfig() Config {
 	return Config{
-		MaxWrites:       3,
-		DispatchWithin:  30 * time.Second,
-		RunLimit:        2 * time.Minute,
-		InProgressRetry: time.Second,
-		PlatformRetry:   2 * time.Second,
-		SettleRetry:     500 * time.Millisecond,
-		SettleRetryMax:  30 * time.Second,
-		SettleFor:       time.Hour,
-		RetainFor:       24 * time.Hour,
+		MaxWrites:            3,
+		DispatchWithin:       30 * time.Second,
+		RunLimit:             2 * time.Minute,
+		InProgressRetryAfter: time.Second,
+		PlatformRetryAfter:   2 * time.Second,
+		SettleRetryMin:       500 * time.Millisecond,
+		SettleRetryMax:       30 * time.Second,
+		SettleFor:            time.Hour,
+		RetainFor:            24 * time.Hour,
 	}
 }
--- a/coordination/claim/events.go
+++ b/coordination/claim/events.go
@@ -65,8 +65,8 @@
 // NotRun reports that the request certainly did not run at any backend server.
 type NotRun struct{}
 
-// Lost reports that the request may have run and that its response is lost.
-type Lost struct{}
+// OutcomeLost reports that the request may have run and that its response is lost.
+type OutcomeLost struct{}
 
 // Retry reports that the delay of a RetryLater is over.
 type Retry struct{}
@@ -105,7 +105,7 @@
 func (NotRun) Event() {}
 
 // Event implements core.Event.
-func (Lost) Event() {}
+func (OutcomeLost) Event() {}
 
 // Event implements core.Event.
 func (Retry) Event() {}
--- a/coordination/claim/machine.go
+++ b/coordination/claim/machine.go
@@ -45,7 +45,7 @@
 // New returns the machine of one request. The record names the attempt, the
 // owner and the fingerprint; the machine sets State and Started.
 func New(cfg Config, record Record) *Machine {
-	return &Machine{cfg: cfg, record: record, backoff: cfg.SettleRetry}
+	return &Machine{cfg: cfg, record: record, backoff: cfg.SettleRetryMin}
 }
 
 // Ended reports whether the machine has finished and needs no more events.
@@ -171,7 +171,7 @@
 	return Refuse{
 		Outcome:    outcome.Unknown,
 		Reason:     outcome.ReasonInProgress,
-		RetryAfter: m.cfg.InProgressRetry,
+		RetryAfter: m.cfg.InProgressRetryAfter,
 	}
 }
 
@@ -196,7 +196,7 @@
 	return Refuse{
 		Outcome:    outcome.NotRun,
 		Reason:     outcome.ReasonPlatform,
-		RetryAfter: m.cfg.PlatformRetry,
+		RetryAfter: m.cfg.PlatformRetryAfter,
 	}
 }
 
@@ -226,7 +226,7 @@
 	return actions(Refuse{
 		Outcome:    outcome.NotRun,
 		Reason:     outcome.ReasonDeadline,
-		RetryAfter: m.cfg.InProgressRetry,
+		RetryAfter: m.cfg.InProgressRetryAfter,
 	})
 }
 
--- a/coordination/claim/machine_test.go
+++ b/coordination/claim/machine_test.go
@@ -36,8 +36,8 @@
 	notKept := other(claim.StateDone, func(r *claim.Record) { r.Answer = &claim.Answer{Status: 201, NotKept: true} })
 	otherRequest := other(claim.StateDone, func(r *claim.Record) { r.Fingerprint.Target = "/rooms/8" })
 	old := other(claim.StateClaimed, func(r *claim.Record) { r.Started -= time.Hour.Milliseconds() })
-	unavailable := claim.Refuse{Outcome: outcome.NotRun, Reason: outcome.ReasonPlatform, RetryAfter: cfg.PlatformRetry}
-	inProgress := claim.Refuse{Outcome: outcome.Unknown, Reason: outcome.ReasonInProgress, RetryAfter: cfg.InProgressRetry}
+	unavailable := claim.Refuse{Outcome: outcome.NotRun, Reason: outcome.ReasonPlatform, RetryAfter: cfg.PlatformRetryAfter}
+	inProgress := claim.Refuse{Outcome: outcome.Unknown, Reason: outcome.ReasonInProgress, RetryAfter: cfg.InProgressRetryAfter}
 	lost := claim.Refuse{Outcome: outcome.Unknown, Reason: outcome.ReasonOutcomeLost}
 	cases := []struct {
 		name   string
@@ -60,7 +60,7 @@
 			claim.Refuse{Outcome: outcome.NotRun, Reason: outcome.ReasonKeyReused}},
 		{"corrupt", []core.Event{claim.Conflict{Current: claim.Item{Revision: 2, Corrupt: true}}}, lost},
 		{"deadline", []core.Event{claim.Cancelled{}}, claim.Refuse{
-			Outcome: outcome.NotRun, Reason: outcome.ReasonDeadline, RetryAfter: cfg.InProgressRetry}},
+			Outcome: outcome.NotRun, Reason: outcome.ReasonDeadline, RetryAfter: cfg.InProgressRetryAfter}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -100,7 +100,7 @@
 // TestNoSendAfterEnd checks that no send is permitted after any end of a
 // request, and that the claim is not released then.
 func TestNoSendAfterEnd(t *testing.T) {
-	for _, end := range []core.Event{claim.NotRun{}, claim.Answered{}, claim.Lost{}} {
+	for _, end := range []core.Event{claim.NotRun{}, claim.Answered{}, claim.OutcomeLost{}} {
 		m := holder(t)
 		m.Step(start, end)
 		_, refused := m.Step(start, claim.Dispatch{})[0].(claim.Refuse)
--- a/coordination/claim/property_test.go
+++ b/coordination/claim/property_test.go
@@ -134,7 +134,7 @@
 	s.runs = append(s.runs, a.id)
 	if result == "lost" {
 		s.clean = false
-		s.step(a, claim.Lost{})
+		s.step(a, claim.OutcomeLost{})
 		return
 	}
 	s.step(a, claim.Answered{Answer: claim.Answer{Status: 201, Body: []byte(a.id)}})
--- a/coordination/claim/settle.go
+++ b/coordination/claim/settle.go
@@ -12,7 +12,7 @@
 		m.record.Answer = &answer
 	case NotRun:
 		m.record.State = StateReleased
-	case Lost:
+	case OutcomeLost:
 		// The claim stays, so that no retry can run.
 		m.phase = phaseEnded
 		return nil
--- a/coordination/docsync/config.go
+++ b/coordination/docsync/config.go
@@ -23,9 +23,9 @@
 	Leaders int
 	// BeaconInterval is the time between two beacons of a reader.
 	BeaconInterval time.Duration
-	// SilenceAfter is the time without any beacon after which the first member
+	// BeaconTimeout is the time without any beacon after which the first member
 	// takes over. It allows for two lost beacons.
-	SilenceAfter time.Duration
+	BeaconTimeout time.Duration
 	// RankDelay is how much longer than its predecessor each of the first
 	// QuickRanks members waits before it takes over, so that one takes over and
 	// not all at once.
@@ -34,31 +34,31 @@
 	// the store serves only some hosts, one of these members most likely reaches
 	// it.
 	QuickRanks int
-	// TurnDelay is how much longer than its predecessor each member after the
-	// first QuickRanks waits before it takes over. TurnDelay times the number of
+	// SlowRankDelay is how much longer than its predecessor each member after the
+	// first QuickRanks waits before it takes over. SlowRankDelay times the number of
 	// live members is the least backoff of a member whose read has failed; leaders
 	// have no such minimum. While the store serves nobody, a zone therefore makes
-	// about one read per TurnDelay besides those of its leaders, whatever its
+	// about one read per SlowRankDelay besides those of its leaders, whatever its
 	// size: in an outage of 8 s a zone of 60 makes 39 reads instead of 365
 	// (TestReadsDuringAStoreOutageDontGrowWithTheZone).
-	TurnDelay time.Duration
+	SlowRankDelay time.Duration
 	// FetchTimeout is how long a peer may take to send a document before
 	// another peer is tried.
 	FetchTimeout time.Duration
-	// FarFetchDelay is how long a node waits before it fetches a newer document
+	// CrossZoneFetchDelay is how long a node waits before it fetches a newer document
 	// that only peers in other availability zones hold: traffic between zones
 	// is expensive, and the zone's own reader usually gets the document as soon.
-	FarFetchDelay time.Duration
+	CrossZoneFetchDelay time.Duration
 	// StartWait is how long a recently started node waits for the store's
 	// document before it applies one from a peer.
 	StartWait time.Duration
 	// ReadDelay is how long a recently started node doesn't read the store, so
 	// that it gets the document from a peer if one holds it.
 	ReadDelay time.Duration
-	// Fresh is set when the whole site starts for the first time. No node has
+	// FirstStart is set when the whole site starts for the first time. No node has
 	// applied a newer document before, so a node applies a peer's document
 	// without waiting for the store.
-	Fresh bool
+	FirstStart bool
 	// RetryMin and RetryMax bound the delay after a failed read, which doubles
 	// with each failure.
 	RetryMin time.Duration
@@ -68,16 +68,16 @@
 // DefaultConfig returns the default parameters; see docs/design/platform.md.
 func DefaultConfig() Config {
 	return Config{
-		Leaders:        1,
-		BeaconInterval: 500 * time.Millisecond,
-		SilenceAfter:   1100 * time.Millisecond,
-		RankDelay:      150 * time.Millisecond,
-		QuickRanks:     4,
-		TurnDelay:      300 * time.Millisecond,
-		FetchTimeout:   400 * time.Millisecond,
-		FarFetchDelay:  300 * time.Millisecond,
-		StartWait:      time.Second,
-		RetryMin:       300 * time.Millisecond,
-		RetryMax:       1500 * time.Millisecond,
+		Leaders:             1,
+		BeaconInterval:      500 * time.Millisecond,
+		BeaconTimeout:       1100 * time.Millisecond,
+		RankDelay:           150 * time.Millisecond,
+		QuickRanks:          4,
+		SlowRankDelay:       300 * time.Millisecond,
+		FetchTimeout:        400 * time.Millisecond,
+		CrossZoneFetchDelay: 300 * time.Millisecond,
+		StartWait:           time.Second,
+		RetryMin:            300 * time.Millisecond,
+		RetryMax:            1500 * time.Millisecond,
 	}
 }
--- a/coordination/docsync/core.go
+++ b/coordination/docsync/core.go
@@ -40,12 +40,12 @@
 	peers map[model.NodeID]*peerState
 	fetch fetch
 
-	rank         int  // index of this node among the live members of its zone
-	liveMembers  int  // number of live members of the zone
-	reading      bool // the last SetReading turned reading on
-	singleRead   bool // the last SetReading was for one read only
-	leading      bool // this node reads for the zone, not only for its own start
-	failures     int  // failed reads in a row
+	rank         int       // index of this node among the live members of its zone
+	liveMembers  int       // number of live members of the zone
+	reading      bool      // the last SetReading turned reading on
+	singleRead   bool      // the last SetReading was for one read only
+	leading      bool      // this node reads for the zone, not only for its own start
+	failures     int       // failed reads in a row
 	retryAt      time.Time // no read before this time
 	sequence     uint64
 	nextBeaconAt time.Time // when this node sends its next beacon
@@ -199,7 +199,7 @@
 }
 
 // bestSource returns the peer to fetch a newer document from; empty for none. It prefers peers of
-// the same zone, uses a peer of another zone only after FarFetchDelay, and avoids the peer whose
+// the same zone, uses a peer of another zone only after CrossZoneFetchDelay, and avoids the peer whose
 // request has just failed.
 func (c *Core) bestSource(failed model.NodeID) model.NodeID {
 	known := c.newestKnown()
@@ -213,7 +213,7 @@
 		if p.newerSince.IsZero() {
 			p.newerSince = c.now
 		}
-		if !p.sameZone && c.now.Sub(p.newerSince) < c.cfg.FarFetchDelay {
+		if !p.sameZone && c.now.Sub(p.newerSince) < c.cfg.CrossZoneFetchDelay {
 			continue
 		}
 		if best == "" || best == failed || p.sameZone && !c.peers[best].sameZone {
@@ -236,7 +236,7 @@
 	if d.Version <= c.newestKnown() {
 		return
 	}
-	if !c.hasRead && !c.cfg.Fresh && c.held == 0 && !c.readerActive() && c.now.Sub(c.started) < c.cfg.StartWait {
+	if !c.hasRead && !c.cfg.FirstStart && c.held == 0 && !c.readerActive() && c.now.Sub(c.started) < c.cfg.StartWait {
 		c.pending, c.pendingFrom = d, from
 		return
 	}
@@ -251,7 +251,7 @@
 		c.retryAt = c.now.Add(c.backoff())
 		return
 	}
-	c.hasRead, c.epoch = true, ev.Life
+	c.hasRead, c.epoch = true, ev.Epoch
 	c.failures = 0
 	if ev.Version > c.held && ev.Version > c.rejected {
 		c.apply(ev.Version, ev.Body, "")
@@ -272,7 +272,7 @@
 	c.held, c.body = version, body
 	c.emit(Apply{Version: version, Body: body, From: from})
 	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
-		c.peers[id].newerSince = time.Time{} // FarFetchDelay starts anew: this zone still gets documents
+		c.peers[id].newerSince = time.Time{} // CrossZoneFetchDelay starts anew: this zone still gets documents
 		if c.peers[id].version < version {
 			c.send(id, &message.DocumentAdvert{Version: version})
 		}
--- a/coordination/docsync/core_test.go
+++ b/coordination/docsync/core_test.go
@@ -86,7 +86,7 @@
 	must.Eq(t, []string{"near"}, fetches(h.receive("near", &message.DocumentAdvert{Version: 3})))
 }
 
-// Guards against adverts that restart FarFetchDelay. With a new version every 260 ms, and a store
+// Guards against adverts that restart CrossZoneFetchDelay. With a new version every 260 ms, and a store
 // that refused the readers of two of three zones, each advert from the third zone restarted the
 // delay, and the two zones stayed behind for seconds.
 func TestDocumentOfAnotherZoneIsFetchedWhileVersionsFollowQuickly(t *testing.T) {
@@ -121,7 +121,7 @@
 // the 885 calls to the store in the first start of 295 hosts, 295 were such reads.
 func TestNodeOfANewSiteAppliesAPeersDocumentWithoutReading(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.Fresh, cfg.ReadDelay = true, 500*time.Millisecond
+	cfg.FirstStart, cfg.ReadDelay = true, 500*time.Millisecond
 	h := &harness{t: t, core: New(cfg, record("self", "z1"), 1), now: begin}
 	h.step(core.Tick{})
 	h.step(Members{Live: []model.NodeID{"a", "b", "c", "self"}})
@@ -134,7 +134,7 @@
 
 func TestNodeOfANewSiteReadsWhenNoPeerHasTheDocument(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.Fresh, cfg.ReadDelay = true, 500*time.Millisecond
+	cfg.FirstStart, cfg.ReadDelay = true, 500*time.Millisecond
 	h := &harness{t: t, core: New(cfg, record("self", "z1"), 1), now: begin}
 	h.step(core.Tick{})
 	h.advance(400 * time.Millisecond)
@@ -429,8 +429,8 @@
 		}
 		return sent
 	}
-	must.Eq(t, []uint64{2}, epochs(h.step(StoreRead{Version: 5, Body: []byte("5"), Life: 2})))
-	h.step(StoreRead{Life: 3})
+	must.Eq(t, []uint64{2}, epochs(h.step(StoreRead{Version: 5, Body: []byte("5"), Epoch: 2})))
+	h.step(StoreRead{Epoch: 3})
 	must.SliceContains(t, epochs(h.advance(time.Second)), 3)
 }
 
@@ -438,15 +438,15 @@
 // store's epoch. Nor is the held document applied again when the operators write it again.
 func TestOlderDocumentOfARestoredStoreIsNotApplied(t *testing.T) {
 	h := newHarness(t)
-	h.step(StoreRead{Version: 5, Body: []byte("5"), Life: 1})
-	h.step(StoreRead{Life: 1})
-	must.Eq(t, nil, applied(h.step(StoreRead{Version: 4, Body: []byte("4"), Life: 2})))
+	h.step(StoreRead{Version: 5, Body: []byte("5"), Epoch: 1})
+	h.step(StoreRead{Epoch: 1})
+	must.Eq(t, nil, applied(h.step(StoreRead{Version: 4, Body: []byte("4"), Epoch: 2})))
 	must.Eq(t, 5, h.core.Held())
-	must.Eq(t, nil, applied(h.step(StoreRead{Life: 2})), must.Sprint("a read without a change"))
-	must.Eq(t, nil, applied(h.step(StoreRead{Version: 5, Body: []byte("5"), Life: 2})), must.Sprint("written again"))
-	must.Eq(t, nil, applied(h.step(StoreRead{Life: 3})), must.Sprint("the copy holds no document"))
+	must.Eq(t, nil, applied(h.step(StoreRead{Epoch: 2})), must.Sprint("a read without a change"))
+	must.Eq(t, nil, applied(h.step(StoreRead{Version: 5, Body: []byte("5"), Epoch: 2})), must.Sprint("written again"))
+	must.Eq(t, nil, applied(h.step(StoreRead{Epoch: 3})), must.Sprint("the copy holds no document"))
 	must.Eq(t, 5, h.core.Held())
-	must.Eq(t, []uint64{6}, applied(h.step(StoreRead{Version: 6, Body: []byte("6"), Life: 3})))
+	must.Eq(t, []uint64{6}, applied(h.step(StoreRead{Version: 6, Body: []byte("6"), Epoch: 3})))
 	must.Eq(t, 6, h.core.Held())
 }
 
@@ -571,7 +571,7 @@
 		for i := range members {
 			cfg := DefaultConfig()
 			delay := time.Duration(rnd.Float64() * float64(time.Second))
-			cfg.Leaders, cfg.Fresh, cfg.ReadDelay = 2, true, delay+300*time.Millisecond
+			cfg.Leaders, cfg.FirstStart, cfg.ReadDelay = 2, true, delay+300*time.Millisecond
 			id := model.NodeID(fmt.Sprintf("node-%03d", i))
 			z.ids = append(z.ids, id)
 			z.cores[id] = New(cfg, record(string(id), "z1"), uint64(i))
@@ -609,7 +609,7 @@
 // for ReadDelay.
 func TestFirstNodeOfAZoneReadsAtOnce(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.Fresh, cfg.ReadDelay = true, 2*time.Second
+	cfg.FirstStart, cfg.ReadDelay = true, 2*time.Second
 	h := &harness{t: t, core: New(cfg, record("self", "z1"), 1), now: begin}
 	h.step(core.Tick{})
 	h.advance(100 * time.Millisecond)
--- a/coordination/docsync/event.go
+++ b/coordination/docsync/event.go
@@ -15,8 +15,8 @@
 	Version uint64
 	// Body is the encoded document.
 	Body []byte
-	// Life is the store's epoch at the read; 0 if unknown.
-	Life uint64
+	// Epoch is the store's epoch at the read; 0 if unknown.
+	Epoch uint64
 	// Err is the cause of a failed read.
 	Err error
 }
--- a/coordination/docsync/reading.go
+++ b/coordination/docsync/reading.go
@@ -12,12 +12,12 @@
 )
 
 // backoff returns the delay after a failed read: exponential from RetryMin to RetryMax, with a
-// jitter of ±50 %. A member other than the leaders waits at least TurnDelay times the number of
+// jitter of ±50 %. A member other than the leaders waits at least SlowRankDelay times the number of
 // live members, before jitter.
 func (c *Core) backoff() time.Duration {
 	wait := backoff.Doubled(c.cfg.RetryMin, c.cfg.RetryMax, c.failures-1)
 	if c.rank >= c.cfg.Leaders {
-		wait = max(wait, time.Duration(c.liveMembers)*c.cfg.TurnDelay)
+		wait = max(wait, time.Duration(c.liveMembers)*c.cfg.SlowRankDelay)
 	}
 	return wait/2 + time.Duration(c.rng.Int64N(int64(wait)))
 }
@@ -45,11 +45,11 @@
 	return c.leading || starting
 }
 
-// readerActive reports whether a beacon of a reader of the zone was received within SilenceAfter.
+// readerActive reports whether a beacon of a reader of the zone was received within BeaconTimeout.
 // Peers' documents are then as new as the store's.
 func (c *Core) readerActive() bool {
 	for _, b := range c.beacons {
-		if c.now.Sub(b.receivedAt) < c.cfg.SilenceAfter {
+		if c.now.Sub(b.receivedAt) < c.cfg.BeaconTimeout {
 			return true
 		}
 	}
@@ -64,20 +64,20 @@
 	if c.leading {
 		return !c.precedingReaderActive()
 	}
-	return c.now.Sub(c.lastBeaconAt()) >= c.cfg.SilenceAfter+c.takeoverDelay()
+	return c.now.Sub(c.lastBeaconAt()) >= c.cfg.BeaconTimeout+c.takeoverDelay()
 }
 
 // takeoverDelay returns how much longer than the first member this one waits before it takes over.
 func (c *Core) takeoverDelay() time.Duration {
 	quick := min(c.rank, c.cfg.QuickRanks)
-	return time.Duration(quick)*c.cfg.RankDelay + time.Duration(c.rank-quick)*c.cfg.TurnDelay
+	return time.Duration(quick)*c.cfg.RankDelay + time.Duration(c.rank-quick)*c.cfg.SlowRankDelay
 }
 
 // precedingReaderActive reports whether a beacon of a reader that precedes this node in the order
-// of keys was received within SilenceAfter. That reader goes on, and this node stops.
+// of keys was received within BeaconTimeout. That reader goes on, and this node stops.
 func (c *Core) precedingReaderActive() bool {
 	for id, b := range c.beacons {
-		if c.now.Sub(b.receivedAt) < c.cfg.SilenceAfter && compareNodes(id, c.self.Node) < 0 {
+		if c.now.Sub(b.receivedAt) < c.cfg.BeaconTimeout && compareNodes(id, c.self.Node) < 0 {
 			return true
 		}
 	}
--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -40,7 +40,7 @@
 func (c *Claim) NotRun() { c.background(claim.NotRun{}) }
 
 // Unknown leaves the key claimed: the request may have run, so no repeat may.
-func (c *Claim) Unknown() { c.step(claim.Lost{}) }
+func (c *Claim) Unknown() { c.step(claim.OutcomeLost{}) }
 
 func (c *Claim) step(ev core.Event) []core.Action {
 	c.mu.Lock()
--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -115,7 +115,7 @@
 	return Verdict{Kind: Refuse, Refusal: claim.Refuse{
 		Outcome:    outcome.NotRun,
 		Reason:     outcome.ReasonPlatform,
-		RetryAfter: k.cfg.Claim.PlatformRetry,
+		RetryAfter: k.cfg.Claim.PlatformRetryAfter,
 	}}
 }
 
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -113,7 +113,7 @@
 	cfg := docsync.DefaultConfig()
 	zones := max(1, len(n.set.Zones))
 	cfg.Leaders = min(max((siteReaders+zones-1)/zones, minReaders), maxReaders)
-	cfg.Fresh = n.set.FirstStart
+	cfg.FirstStart = n.set.FirstStart
 	cfg.ReadDelay = joinTime
 	if n.set.FirstStart {
 		cfg.ReadDelay = n.startDelay + firstStartJoinTime
--- a/internal/sidecar/reader.go
+++ b/internal/sidecar/reader.go
@@ -145,7 +145,7 @@
 	if c.Unreadable != nil {
 		_ = level.Warn(r.log).Log("event", "rollout_unreadable", "err", c.Unreadable)
 	}
-	out := reading{StoreRead: docsync.StoreRead{Life: c.Life}, orders: c.Orders}
+	out := reading{StoreRead: docsync.StoreRead{Epoch: c.Life}, orders: c.Orders}
 	out.evacuations.Orders = c.Evacuations
 	if c.Whole {
 		out.evacuations.WholeRevision = c.Revision
