--- a/coordination/member/config.go
+++ b/coordination/member/config.go
@@ -1,104 +1,106 @@
-// Package member decides who belongs to the fleet and which nodes are linked.
+// Package member implements membership and the overlay of links between nodes.
 //
-// Every node holds the record of every other node (see state/endpoint). The
-// core keeps links to a few peers, floods changed records over them, repairs
-// what was lost by comparing digests, and watches the peers it is linked to.
-// Only members of a node's own availability zone find it failed, so that a
-// zone that is cut off loses no record elsewhere.
+// Every node holds the record of every other node (see state/endpoint). The core keeps
+// links to a few peers, floods changed records over them, repairs lost updates by comparing
+// digests (anti-entropy), and monitors the peers that it is linked to. Only members of a
+// node's own availability zone can mark it as failed, so that a zone cut off by a network
+// partition loses no records elsewhere.
 //
 // The core is a pure state machine in the sense of coordination/core.
-// docs/design/membership.md gives the choices and their figures.
+// docs/design/membership.md explains the design choices and their figures.
 package member
 
 import "time"
 
 // Config holds the parameters of the core.
 type Config struct {
-	// HeartbeatInterval is the longest time without a message on a link
-	// before an empty Digest is sent to prove the link alive.
+	// HeartbeatInterval is how long this node may send nothing on a link before it sends an
+	// empty Digest as a heartbeat.
 	HeartbeatInterval time.Duration
-	// SuspectAfter is how long a link may be silent before its peer is
-	// suspected. It covers two lost heartbeats and their delay.
+	// SuspectAfter is how long a link may be silent before its peer is suspected. It covers
+	// two lost heartbeats and their delay.
 	SuspectAfter time.Duration
-	// SuspicionTimeout is how long a suspect has to refute before the node
-	// that suspected it finds it failed. Others wait twice as long.
+	// SuspicionTimeout is how long a suspect has to refute before the node that raised the
+	// suspicion marks it as failed. Other nodes wait twice as long.
 	SuspicionTimeout time.Duration
-	// SuspicionWindow is the time over which suspicions are capped.
+	// SuspicionWindow is the sliding window over which suspicions are capped. A member that
+	// refuted a suspicion of this node is not suspected by it again for the same time.
 	SuspicionWindow time.Duration
-	// MaxSuspectPart is the part of the zone's live members that may become
-	// suspect within SuspicionWindow, 0 to 1. A node that is cut off itself
-	// must not evict the rest.
+	// MaxSuspectPart is the fraction, 0 to 1, of the zone's live members that may become
+	// suspect within SuspicionWindow. It prevents a node that is itself cut off from
+	// evicting the others.
 	MaxSuspectPart float64
-	// MinSuspects is the number of suspicions allowed within SuspicionWindow
-	// in a zone so small that MaxSuspectPart would allow fewer.
+	// MinSuspects is the number of suspicions allowed within SuspicionWindow in a zone so
+	// small that MaxSuspectPart would allow fewer.
 	MinSuspects int
-	// PauseThreshold is the longest time between two events of a process that
-	// runs. After a longer one nobody is suspected for SuspectAfter.
+	// PauseThreshold is the longest expected gap between two events of a running process.
+	// After a longer gap the process is taken to have been paused, and it suspects nobody
+	// for SuspectAfter.
 	PauseThreshold time.Duration
-	// TombstoneTTL is how long the record of a dead node is kept, so that a
-	// paused node can't bring back what was withdrawn.
+	// TombstoneTTL is how long the record of a dead node is kept as a tombstone, so that a
+	// node that was paused can't bring back withdrawn records.
 	TombstoneTTL time.Duration
-	// BatchDelay is the time over which changed records are gathered into one
+	// BatchDelay is how long changed records are collected before they are sent in one
 	// message.
 	BatchDelay time.Duration
 	// MaxMessageBytes bounds the estimated size of a Records message.
 	MaxMessageBytes int
-	// DigestInterval is the time between two comparisons with a random
-	// neighbour.
+	// DigestInterval is the time between two digest comparisons with a random neighbour.
 	DigestInterval time.Duration
-	// MaxRelayTableSize is the number of records in the table up to which links between zones
-	// also carry records of third zones. This spreads them sooner than the links of their own
-	// zones alone, but costs more bytes between zones.
+	// MaxRelayTableSize is the number of records in the table up to which links between
+	// zones also relay records of third zones. Relaying spreads them sooner than the links
+	// of their own zones alone, but sends more bytes between zones.
 	MaxRelayTableSize int
-	// RelayCompareDelay is the time between a change of third zones' records that isn't passed
-	// on over a link between zones and the comparison of the tables over that link.
+	// RelayCompareDelay is the delay between a change of third zones' records that is not
+	// relayed over a link between zones and the digest comparison over that link.
 	RelayCompareDelay time.Duration
-	// RequestTimeout is how long an answer to a RecordsRequest is waited for
-	// before the zone is asked for again, and the quiet time after which the
-	// first copy of a zone counts as whole.
+	// RequestTimeout is the minimum time between two RecordsRequests for the same zone. It
+	// is also the idle time after which the initial sync of a zone counts as complete.
 	RequestTimeout time.Duration
-	// AnswerBytesPerSecond bounds the answers to RecordsRequests, so that a
-	// herd of joiners can't take up the node's link.
+	// AnswerBytesPerSecond bounds the responses to RecordsRequests, so that many nodes
+	// joining at once can't saturate this node's network link.
 	AnswerBytesPerSecond int
-	// AnswerBurstBytes is the size of the answers sent at once.
+	// AnswerBurstBytes is the burst size of that budget: the bytes of responses that may be
+	// sent at once.
 	AnswerBurstBytes int
-	// ChordLinks is the number of links besides the one to the successor.
+	// ChordLinks is the number of links besides the one to the successor on the ring.
 	ChordLinks int
-	// MaxPeers is the number of links at which further peers are turned away,
-	// unless the overlay wants a link to them.
+	// MaxPeers is the number of links beyond which a new link is rejected, unless the
+	// overlay wants it.
 	MaxPeers int
-	// GatewaysPerZone is the number of members of each zone that link to
-	// other zones.
+	// GatewaysPerZone is the number of members of each zone that link to other zones.
 	GatewaysPerZone int
 	// LinkLinger is how long a link that neither side wants is kept.
 	LinkLinger time.Duration
-	// ZoneSilentAfter is how long a gateway goes without any link to another
-	// zone before it tries that zone's other members.
+	// ZoneSilentAfter is how long a gateway goes without any link to another zone before it
+	// dials random members of that zone instead of only its gateways.
 	ZoneSilentAfter time.Duration
-	// BackoffMin is the wait after the first failed attempt to connect.
+	// BackoffMin is the delay after the first failed connection attempt. It doubles with
+	// each further failure, up to BackoffMax.
 	BackoffMin time.Duration
-	// BackoffMax is the longest wait between two attempts to connect.
+	// BackoffMax is the longest delay between two connection attempts, before jitter.
 	BackoffMax time.Duration
-	// ConnectTimeout is when an attempt counts as failed without an answer.
+	// ConnectTimeout is the time without a result after which a connection attempt counts
+	// as failed.
 	ConnectTimeout time.Duration
-	// ConnectsPerSecond bounds the attempts to connect of this node.
+	// ConnectsPerSecond bounds this node's connection attempts.
 	ConnectsPerSecond float64
-	// ConnectBurst is the number of attempts that may be made at once.
+	// ConnectBurst is the number of connection attempts that may be made at once.
 	ConnectBurst float64
-	// RejoinInterval is the time between attempts to reach an address that
-	// may belong to a part of the fleet that this node has lost.
+	// RejoinInterval is the time between attempts to reach an address that may belong to a
+	// part of the fleet that this node has lost.
 	RejoinInterval time.Duration
-	// RejoinMin is the time between the first of these attempts after a start,
-	// and between the first attempts to find any peer. It doubles up to
-	// RejoinInterval. With 80 ms, sites of 15 hosts that start at once
-	// hold all records 3 s sooner (TestSiteThatStartsAtOnceFindsItself).
+	// RejoinMin is the delay between the first of these attempts after a start, and between
+	// the first attempts to find any peer. For the former it doubles up to RejoinInterval.
+	// With 80 ms, the nodes of a site of 15 hosts that start simultaneously hold all
+	// records 3 s sooner than with BackoffMin between seeds and RejoinInterval between
+	// attempts (TestSimultaneousSiteStartConverges).
 	RejoinMin time.Duration
-	// MaxRecords bounds the table against hostile input, in records.
+	// MaxRecords bounds the number of records in the table against hostile input.
 	MaxRecords int
 }
 
-// DefaultConfig returns the parameters for the size that the project is
-// designed for.
+// DefaultConfig returns the parameters for the fleet size that the project is designed for.
 func DefaultConfig() Config {
 	return Config{
 		HeartbeatInterval:    2 * time.Second,
--- a/coordination/member/core.go
+++ b/coordination/member/core.go
@@ -11,23 +11,23 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Core is the membership state machine of one node. It takes core.Tick,
-// core.PeerUp, core.PeerDown, core.DialFailed, core.Received, Announce, Leave,
-// SeedsLearned and Incarnate. It is not safe for concurrent use.
+// Core is the membership state machine of one node. It handles core.Tick, core.PeerUp,
+// core.PeerDown, core.DialFailed, core.Received, Announce, Leave, SeedsLearned and
+// Incarnate. It is not safe for concurrent use.
 type Core struct {
-	cfg   Config
-	rng   *rand.Rand
-	now   time.Time
-	last  time.Time // time of the last event
-	out   []core.Action
-	stats Stats
-
-	self    endpoint.Record
-	left    bool
-	claimed version // newest foreign version of the own record reported
-	table   *endpoint.Table
-
-	links    []*link // in order of node
+	cfg       Config
+	rng       *rand.Rand
+	now       time.Time
+	lastEvent time.Time // time of the previous event
+	actions   []core.Action
+	stats     Stats
+
+	self            endpoint.Record
+	left            bool
+	reportedVersion version // version of the own record in the last reported identity conflict
+	table           *endpoint.Table
+
+	links    []*link // sorted by node
 	flood    flood
 	sync     antiEntropy
 	detector detector
@@ -36,12 +36,13 @@
 	overlay  overlay
 }
 
-// version orders the records of one node.
+// version identifies a version of one node's record; a higher incarnation, then a higher
+// sequence, is newer.
 type version struct{ incarnation, sequence uint64 }
 
-// New returns the core of the node that self describes. Seeds are control
-// addresses of other members; the node's own may be among them. Equal seeds of
-// randomness give equal decisions.
+// New returns the core of the node that self describes. Seeds are peer addresses, IP:port,
+// of other members; the node's own may be among them. The same random seed and events give
+// the same decisions.
 func New(cfg Config, self endpoint.Record, seeds []string, seed uint64) *Core {
 	c := &Core{
 		cfg:   cfg,
@@ -53,7 +54,7 @@
 	c.sync.zones = make(map[model.Zone]*zoneSync)
 	c.sync.budget = float64(cfg.AnswerBurstBytes)
 	c.detector.suspicions = make(map[model.NodeID]suspicion)
-	c.detector.refuted = make(map[model.NodeID]time.Time)
+	c.detector.trustedUntil = make(map[model.NodeID]time.Time)
 	c.dialer.targets = make(map[model.NodeID]*target)
 	c.dialer.tokens = cfg.ConnectBurst
 	c.overlay.wanted = make(map[model.NodeID]bool)
@@ -64,17 +65,17 @@
 	return c
 }
 
-// Step takes one event and returns the actions it leads to.
+// Step handles one event and returns the resulting actions.
 func (c *Core) Step(now time.Time, ev core.Event) []core.Action {
-	c.out = nil
+	c.actions = nil
 	c.now = now
-	c.noticePause()
+	c.detectPause()
 	c.handle(ev)
 	c.flushDue()
 	if c.table.Changed() {
-		c.act(TableChanged{})
+		c.emit(TableChanged{})
 	}
-	return c.out
+	return c.actions
 }
 
 func (c *Core) handle(ev core.Event) {
@@ -100,57 +101,56 @@
 	}
 }
 
-// tick does what is due by time.
+// tick runs the periodic work.
 func (c *Core) tick() {
 	c.refreshOverlay()
-	c.watchLinks()
+	c.closeSilentLinks()
 	c.confirmSuspicions()
 	c.sendHeartbeats()
 	c.compareDigests()
 	c.closeUnwanted()
 	c.dialWanted()
-	c.dialOthers()
-	c.sweepOld()
+	c.dialForDiscovery()
+	c.expireState()
 }
 
 func (c *Core) received(ev core.Received) {
 	l := c.link(ev.From)
 	if l != nil {
-		l.heard = c.now
-		c.detector.alone = 0
+		l.lastReceived = c.now
+		c.detector.isolatedSuspicions = 0
 	}
 	switch m := ev.Message.(type) {
 	case *message.Records:
-		c.takeRecords(ev.From, m.Records)
+		c.handleRecords(ev.From, m.Records)
 	case *message.Digest:
-		c.takeDigest(ev.From, m.Zones)
+		c.handleDigest(ev.From, m.Zones)
 	case *message.RecordsRequest:
-		c.answer(ev.From, m)
+		c.respond(ev.From, m)
 	}
 }
 
-func (c *Core) act(a core.Action) { c.out = append(c.out, a) }
+func (c *Core) emit(a core.Action) { c.actions = append(c.actions, a) }
 
 func (c *Core) send(l *link, p message.Priority, m message.Message) {
-	l.sent = c.now
-	c.act(core.Send{To: l.node, Priority: p, Message: m})
+	l.lastSent = c.now
+	c.emit(core.Send{To: l.node, Priority: p, Message: m})
 }
 
-// Table returns the endpoint table, for reading by the goroutine that owns the
-// core.
+// Table returns the endpoint table. Only the goroutine that owns the core may read it.
 func (c *Core) Table() *endpoint.Table { return c.table }
 
 // Self returns the node's own record.
 func (c *Core) Self() endpoint.Record { return c.self }
 
-// Live returns the live members of the own zone in order of node key, this
-// node included. It must not be changed.
+// Live returns the live members of the own zone in order of node key, including this node.
+// It must not be modified.
 func (c *Core) Live() []model.NodeID { return c.overlay.live }
 
 // Gateway reports whether this node is a gateway of its zone.
 func (c *Core) Gateway() bool { return c.overlay.gateway }
 
-// Digest returns the hash of the table for each zone, for Hello and Welcome.
+// Digest returns the table's hash for each zone, as sent in Hello and Welcome.
 func (c *Core) Digest() []message.ZoneDigest {
 	hashes := c.table.Digest()
 	d := make([]message.ZoneDigest, len(hashes))
@@ -160,13 +160,14 @@
 	return d
 }
 
-// IncarnationOf returns the newest incarnation known of a node; 0 for none.
+// IncarnationOf returns the incarnation in the table's record of a node, or 0 if there is
+// none.
 func (c *Core) IncarnationOf(id model.NodeID) uint64 {
 	r, _ := c.table.Get(id)
 	return r.Incarnation
 }
 
-// Neighbours returns the connected peers in order of node.
+// Neighbours returns the connected peers, sorted by node.
 func (c *Core) Neighbours() []model.NodeID {
 	ids := make([]model.NodeID, 0, len(c.links))
 	for _, l := range c.links {
@@ -177,8 +178,8 @@
 	return slices.Clip(ids)
 }
 
-// FlushDue returns when changed records wait to be sent, so that the driver may
-// send a Tick then instead of at its usual time. It is zero when none wait.
+// FlushDue returns when the queued records are due to be sent, or zero if none are queued.
+// The driver may send a Tick at that time instead of waiting for the next regular one.
 func (c *Core) FlushDue() time.Time { return c.flood.due }
 
 // Stats returns the counters.
--- a/coordination/member/cost_test.go
+++ b/coordination/member/cost_test.go
@@ -12,11 +12,11 @@
 	"github.com/jacinthgate/jacinthgate/state/endpoint"
 )
 
-// TestCostPerNode bounds the messages and bytes sent, on the mean of 60 nodes.
-// The bytes are those of encoded messages, without the transport's headers.
+// TestCostPerNode bounds the mean number of messages and bytes sent per node in a fleet of
+// 60. The bytes are those of encoded messages, without the transport's headers.
 func TestCostPerNode(t *testing.T) {
 	t.Parallel()
-	n := started(t, 3, 20)
+	n := convergedNetwork(t, 3, 20)
 	last := n.ids[len(n.ids)-1]
 	restartZone := func() {
 		for i := range 20 {
@@ -33,7 +33,7 @@
 		countBound float64
 	}{
 		{"idle, 30 s", func() {}, 30 * time.Second, 900, 120},
-		{"server drains, goes and comes", func() {
+		{"backend server drains, leaves and returns", func() {
 			n.step(server, Announce{Service: server.rec.Service, Slots: 10, Connections: 110, Draining: true})
 			n.runFor(time.Second)
 			n.step(server, Announce{})
@@ -61,15 +61,15 @@
 	}
 }
 
-// fleet returns the core of a node that holds 4,300 records in 7 zones and is
+// largeFleetCore returns the core of a node that holds 4,300 records in 7 zones and is
 // linked to six peers.
-func fleet(b testing.TB) (*Core, time.Time) {
+func largeFleetCore(b testing.TB) (*Core, time.Time) {
 	now := time.Unix(1_800_000_000, 0)
 	c := New(DefaultConfig(), record(0, 0), nil, 1)
 	c.Step(now, core.PeerUp{Record: record(0, 1)})
 	for z := range 7 {
 		for i := range 615 {
-			c.takeRecords(record(0, 1).Node, []endpoint.Record{record(z, i)})
+			c.handleRecords(record(0, 1).Node, []endpoint.Record{record(z, i)})
 		}
 	}
 	c.Step(now, core.Tick{})
@@ -81,23 +81,23 @@
 	return c, now
 }
 
-// BenchmarkTick is a tick of a node at the size designed for: ten a second.
+// BenchmarkTick measures one Tick at the design size; a node handles ten per second.
 func BenchmarkTick(b *testing.B) {
-	c, now := fleet(b)
+	c, now := largeFleetCore(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(100 * time.Millisecond)
 		for _, l := range c.links {
-			l.heard = now
+			l.lastReceived = now
 		}
 		c.Step(now, core.Tick{})
 	}
 }
 
-// BenchmarkRecords is a message with one changed record, flooded to five peers,
-// and the view built after it.
+// BenchmarkRecords measures handling a message with one changed record: flooding it to five
+// peers and building the new view.
 func BenchmarkRecords(b *testing.B) {
-	c, now := fleet(b)
+	c, now := largeFleetCore(b)
 	r := record(3, 100)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -109,10 +109,10 @@
 	}
 }
 
-// BenchmarkRefresh works out ring, gateways and wanted links: at most once a
-// tick, when a member came or went.
+// BenchmarkRefresh measures recomputing ring, gateways and wanted links, which happens at
+// most once per Tick, after a member joined or left.
 func BenchmarkRefresh(b *testing.B) {
-	c, _ := fleet(b)
+	c, _ := largeFleetCore(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		c.overlay.dirty[c.self.Zone] = true
@@ -120,13 +120,13 @@
 	}
 }
 
-// BenchmarkMemory reports the heap of a core with table and view.
+// BenchmarkMemory reports the heap size of a core with its table and view.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		c, _ := fleet(b)
+		c, _ := largeFleetCore(b)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		used := float64(after.HeapAlloc) - float64(before.HeapAlloc)
@@ -136,10 +136,9 @@
 	}
 }
 
-// BenchmarkJoin reports the encoded bytes of a whole table, what a joiner is
-// sent, and those of one service in one zone, what a subset would be.
+// BenchmarkJoin reports the encoded size of a whole table, as sent to a joining node.
 func BenchmarkJoin(b *testing.B) {
-	c, now := fleet(b)
+	c, now := largeFleetCore(b)
 	for b.Loop() {
 		total, count := 0, 0
 		c.sync.budget = 4 << 20
--- a/coordination/member/detector.go
+++ b/coordination/member/detector.go
@@ -9,56 +9,58 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// detector finds the failed members of the own zone.
+// detector is the failure detector for members of the own zone.
 type detector struct {
+	// suspicions holds the current suspects.
 	suspicions map[model.NodeID]suspicion
-	// refuted are the members that refuted a suspicion of this node, and until
-	// when it doesn't suspect them again: perhaps only the way between the
-	// two is broken, and other members watch them as well.
-	refuted    map[model.NodeID]time.Time
-	recent     []time.Time // when members of the zone became suspect
-	alone      int         // suspicions raised since a link was last heard
-	graceUntil time.Time   // nobody is suspected before
+	// trustedUntil holds the members that refuted a suspicion of this node, and until when
+	// this node doesn't suspect them again. Perhaps only the path between the two is
+	// broken, and other members monitor them as well.
+	trustedUntil       map[model.NodeID]time.Time
+	recentSuspicions   []time.Time // when members of the zone became suspect
+	isolatedSuspicions int         // suspicions raised since any peer last connected or sent a message
+	graceUntil         time.Time   // no member is suspected before this time
 }
 
-// suspicion is a member that is suspect at present.
+// suspicion describes a member that is currently suspect.
 type suspicion struct {
-	deadline time.Time
-	mine     bool
+	deadline time.Time // the member is marked as failed after this time
+	own      bool      // raised by this node
 }
 
-// noticePause detects that the process did not run for a while. What it did
-// not hear in that time says nothing about others.
-func (c *Core) noticePause() {
-	paused := c.now.Sub(c.last) > c.cfg.PauseThreshold
-	c.last = c.now
+// detectPause detects that the process did not run for longer than PauseThreshold. Peers'
+// silence during that time is no evidence of failure, so all silence and suspicion timers
+// restart.
+func (c *Core) detectPause() {
+	paused := c.now.Sub(c.lastEvent) > c.cfg.PauseThreshold
+	c.lastEvent = c.now
 	if !paused {
 		return
 	}
 	c.detector.graceUntil = c.now.Add(c.cfg.SuspectAfter)
 	for _, l := range c.links {
-		l.heard = c.now
+		l.lastReceived = c.now
 	}
 	for id, s := range c.detector.suspicions {
-		s.deadline = c.now.Add(c.suspicionTimeout(s.mine))
+		s.deadline = c.now.Add(c.suspicionTimeout(s.own))
 		c.detector.suspicions[id] = s
 	}
 }
 
-// suspicionTimeout is longer for those who did not raise the suspicion: they
-// act only when the one who did can't.
-func (c *Core) suspicionTimeout(mine bool) time.Duration {
-	if mine {
+// suspicionTimeout returns how long a suspect has to refute. The timeout is longer for
+// suspicions raised by other nodes: this node acts on them only if the node that raised
+// them can't.
+func (c *Core) suspicionTimeout(own bool) time.Duration {
+	if own {
 		return c.cfg.SuspicionTimeout
 	}
 	return 2 * c.cfg.SuspicionTimeout
 }
 
-// watchLinks gives up the links that have been silent for too long and
-// suspects their peers.
-func (c *Core) watchLinks() {
+// closeSilentLinks closes links that were silent for SuspectAfter and suspects their peers.
+func (c *Core) closeSilentLinks() {
 	for _, l := range c.links {
-		if l.closing || c.now.Sub(l.heard) < c.cfg.SuspectAfter {
+		if l.closing || c.now.Sub(l.lastReceived) < c.cfg.SuspectAfter {
 			continue
 		}
 		c.suspect(l.node)
@@ -66,74 +68,75 @@
 	}
 }
 
-// suspect marks a live member of the own zone as suspect, unless it was heard
-// or the cap is reached.
+// suspect marks a live member of the own zone as suspect, unless it recently sent a message
+// or refuted a suspicion of this node, a grace period is running, or the cap is reached.
 func (c *Core) suspect(id model.NodeID) {
 	r, held := c.table.Get(id)
 	if !held || r.Zone != c.self.Zone || r.Status != endpoint.StatusAlive || c.left {
 		return
 	}
-	trusted := c.now.Before(c.detector.graceUntil) || c.now.Before(c.detector.refuted[id])
-	if trusted || c.hears(id) {
+	trusted := c.now.Before(c.detector.graceUntil) || c.now.Before(c.detector.trustedUntil[id])
+	if trusted || c.isResponsive(id) {
 		return
 	}
-	if !c.maySuspect() {
+	if !c.belowSuspicionCap() {
 		c.stats.Withheld++
 		return
 	}
 	c.stats.Suspected++
-	c.detector.alone++
+	c.detector.isolatedSuspicions++
 	c.raiseStatus(r, endpoint.StatusSuspect)
 	c.detector.suspicions[id] = suspicion{
 		deadline: c.now.Add(c.suspicionTimeout(true)),
-		mine:     true,
+		own:      true,
 	}
 }
 
-// maySuspect caps the suspicions in the zone. A node that hears nobody is
-// probably cut off itself: for it the cap holds until it hears somebody.
-func (c *Core) maySuspect() bool {
+// belowSuspicionCap reports whether the cap allows another suspicion in the zone. A node
+// that receives nothing from any peer is probably cut off itself: its suspicions count
+// against the cap, regardless of SuspicionWindow, until it receives a message again.
+func (c *Core) belowSuspicionCap() bool {
 	limit := int(float64(len(c.overlay.live)) * c.cfg.MaxSuspectPart)
 	limit = max(limit, c.cfg.MinSuspects)
-	if c.isolated(c.cfg.SuspectAfter) && c.detector.alone >= limit {
+	if c.isolated(c.cfg.SuspectAfter) && c.detector.isolatedSuspicions >= limit {
 		return false
 	}
 	oldest := c.now.Add(-c.cfg.SuspicionWindow)
-	recent := c.detector.recent
+	recent := c.detector.recentSuspicions
 	for len(recent) > 0 && !recent[0].After(oldest) {
 		recent = recent[1:]
 	}
-	c.detector.recent = recent
+	c.detector.recentSuspicions = recent
 	return len(recent) < limit
 }
 
-// hears reports whether a peer was heard lately.
-func (c *Core) hears(id model.NodeID) bool {
+// isResponsive reports whether a peer sent a message within SuspectAfter.
+func (c *Core) isResponsive(id model.NodeID) bool {
 	l := c.link(id)
-	return l != nil && c.now.Sub(l.heard) < c.cfg.SuspectAfter
+	return l != nil && c.now.Sub(l.lastReceived) < c.cfg.SuspectAfter
 }
 
-// isolated reports whether no link was heard within the given time.
+// isolated reports whether no peer sent a message within the given time.
 func (c *Core) isolated(within time.Duration) bool {
 	for _, l := range c.links {
-		if c.now.Sub(l.heard) < within {
+		if c.now.Sub(l.lastReceived) < within {
 			return false
 		}
 	}
 	return true
 }
 
-// confirmSuspicions finds those failed who did not refute in time.
+// confirmSuspicions marks suspects as failed that did not refute in time.
 func (c *Core) confirmSuspicions() {
 	if len(c.detector.suspicions) == 0 || c.now.Before(c.detector.graceUntil) || c.left {
 		return
 	}
-	// The deadline of others' suspicions may be shorter than SuspectAfter: a
-	// link that works is heard each HeartbeatInterval.
+	// The timeout of suspicions raised by other nodes may be shorter than SuspectAfter, so
+	// isolation is judged by heartbeats: a working link carries one each HeartbeatInterval.
 	isolated := c.isolated(c.cfg.HeartbeatInterval * 3 / 2)
 	for _, id := range slices.Sorted(maps.Keys(c.detector.suspicions)) {
 		s := c.detector.suspicions[id]
-		if c.now.Before(s.deadline) || c.hears(id) || isolated && !s.mine {
+		if c.now.Before(s.deadline) || c.isResponsive(id) || isolated && !s.own {
 			continue
 		}
 		r, held := c.table.Get(id)
@@ -147,27 +150,27 @@
 	}
 }
 
-// raiseStatus gives another node's record a higher status and floods it.
+// raiseStatus sets a higher status in another node's record and floods it urgently.
 func (c *Core) raiseStatus(r endpoint.Record, s endpoint.Status) {
 	r.Status = s
 	c.table.Put(r)
 	c.overlay.dirty[r.Zone] = true
-	c.noteStatus(r)
-	c.spread(r.Node, "", true)
+	c.trackSuspicion(r)
+	c.queueFlood(r.Node, "", true)
 }
 
-// noteStatus keeps the list of suspects in step with the table.
-func (c *Core) noteStatus(r endpoint.Record) {
+// trackSuspicion updates the suspicions after a record was stored in the table.
+func (c *Core) trackSuspicion(r endpoint.Record) {
 	if r.Status != endpoint.StatusSuspect || r.Zone != c.self.Zone {
-		if c.detector.suspicions[r.Node].mine && r.Status == endpoint.StatusAlive {
-			c.detector.refuted[r.Node] = c.now.Add(c.cfg.SuspicionWindow)
+		if c.detector.suspicions[r.Node].own && r.Status == endpoint.StatusAlive {
+			c.detector.trustedUntil[r.Node] = c.now.Add(c.cfg.SuspicionWindow)
 		}
 		delete(c.detector.suspicions, r.Node)
 		return
 	}
-	if _, known := c.detector.suspicions[r.Node]; known {
+	if _, exists := c.detector.suspicions[r.Node]; exists {
 		return
 	}
-	c.detector.recent = append(c.detector.recent, c.now)
+	c.detector.recentSuspicions = append(c.detector.recentSuspicions, c.now)
 	c.detector.suspicions[r.Node] = suspicion{deadline: c.now.Add(c.suspicionTimeout(false))}
 }
--- a/coordination/member/dialer.go
+++ b/coordination/member/dialer.go
@@ -8,38 +8,39 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// dialer paces the attempts to connect.
+// dialer limits the rate of connection attempts by a token bucket, and backs off from each
+// peer that can't be reached.
 type dialer struct {
-	targets map[model.NodeID]*target
-	tokens  float64
-	filled  time.Time
+	targets    map[model.NodeID]*target
+	tokens     float64
+	refilledAt time.Time // when tokens were last added
 }
 
-// target is a peer that was dialled.
+// target is the dialling state of one peer.
 type target struct {
-	failures int
-	next     time.Time // no attempt before
-	dialling bool
-	since    time.Time // when the attempt in flight began
+	failures  int       // consecutive failed attempts
+	notBefore time.Time // earliest time of the next attempt
+	dialling  bool
+	startedAt time.Time // when the current attempt started
 }
 
-// steadyAfter is how long a link must have lasted for its loss not to count
-// as a failed attempt.
-const steadyAfter = 5 * time.Second
+// stableAfter is how long a link must have lasted for its loss not to count as a failed
+// attempt.
+const stableAfter = 5 * time.Second
 
-// dialWanted dials the wanted peers that this node has to dial.
+// dialWanted dials the wanted peers that this node is responsible for dialling.
 func (c *Core) dialWanted() {
 	if c.left {
 		return
 	}
-	for _, id := range c.overlay.order {
+	for _, id := range c.overlay.wantedIDs {
 		if c.overlay.wanted[id] && c.link(id) == nil {
 			c.dial(id)
 		}
 	}
 }
 
-// dial attempts to connect to a member, when its backoff and the node's rate
+// dial starts a connection attempt to a member if its backoff and the node's rate limit
 // allow it.
 func (c *Core) dial(id model.NodeID) {
 	r, held := c.table.Get(id)
@@ -51,25 +52,25 @@
 		t = &target{}
 		c.dialer.targets[id] = t
 	}
-	if t.dialling && c.now.Sub(t.since) >= c.cfg.ConnectTimeout {
+	if t.dialling && c.now.Sub(t.startedAt) >= c.cfg.ConnectTimeout {
 		c.dialFailed(core.DialFailed{Node: id, Addr: r.PeerAddr})
 	}
-	if t.dialling || c.now.Before(t.next) || !c.takeConnect() {
+	if t.dialling || c.now.Before(t.notBefore) || !c.takeDialToken() {
 		return
 	}
 	t.dialling = true
-	t.since = c.now
-	c.act(core.Connect{Node: id, Addr: r.PeerAddr})
+	t.startedAt = c.now
+	c.emit(core.Connect{Node: id, Addr: r.PeerAddr})
 }
 
-// takeConnect reports whether another attempt may be made now.
-func (c *Core) takeConnect() bool {
+// takeDialToken takes a token for a connection attempt and reports whether there was one.
+func (c *Core) takeDialToken() bool {
 	d := &c.dialer
-	if !d.filled.IsZero() {
-		gained := c.now.Sub(d.filled).Seconds() * c.cfg.ConnectsPerSecond
+	if !d.refilledAt.IsZero() {
+		gained := c.now.Sub(d.refilledAt).Seconds() * c.cfg.ConnectsPerSecond
 		d.tokens = min(c.cfg.ConnectBurst, d.tokens+gained)
 	}
-	d.filled = c.now
+	d.refilledAt = c.now
 	if d.tokens < 1 {
 		return false
 	}
@@ -89,37 +90,38 @@
 	}
 }
 
-// backOff sets the time of the next attempt: twice as late after each failure,
-// spread by half.
+// backOff sets the earliest time of the next attempt. The delay doubles with each failure
+// and is jittered by plus or minus half.
 func (c *Core) backOff(t *target) {
 	wait := backoff.Doubled(c.cfg.BackoffMin, c.cfg.BackoffMax, t.failures)
 	t.failures++
-	t.next = c.now.Add(wait/2 + c.jitter(wait))
+	t.notBefore = c.now.Add(wait/2 + c.jitter(wait))
 }
 
-// connected notes that a peer was reached.
+// connected marks the attempt to connect to a peer as finished.
 func (d *dialer) connected(id model.NodeID) {
 	if t := d.targets[id]; t != nil {
 		t.dialling = false
 	}
 }
 
-// lostLink decides when a lost peer may be dialled again: at once after a link
-// that has lasted, with backoff after one that was closed early.
-func (c *Core) lostLink(l *link) {
+// scheduleRedial sets when a peer may be dialled again after its link was lost: immediately
+// if the link had lasted for stableAfter, with backoff if it was closed earlier.
+func (c *Core) scheduleRedial(l *link) {
 	t := c.dialer.targets[l.node]
 	switch {
 	case t == nil:
-	case c.now.Sub(l.since) >= steadyAfter:
+	case c.now.Sub(l.connectedAt) >= stableAfter:
 		t.failures = 0
-		t.next = c.now
+		t.notBefore = c.now
 	default:
 		c.backOff(t)
 	}
 }
 
-// forget drops the peers that are no longer wanted.
-func (d *dialer) forget(wanted map[model.NodeID]bool) {
+// prune deletes the state of peers that are no longer wanted, except of those being
+// dialled.
+func (d *dialer) prune(wanted map[model.NodeID]bool) {
 	for id, t := range d.targets {
 		if _, keep := wanted[id]; !keep && !t.dialling {
 			delete(d.targets, id)
--- a/coordination/member/event.go
+++ b/coordination/member/event.go
@@ -6,43 +6,44 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Announce reports what the backend server on the host announced of itself.
-// An empty Service reports that it went away. The core raises the sequence of
-// its own record when something changed.
+// Announce reports the latest announcement of the backend server on the host. An empty
+// Service means that the backend server is gone. If anything changed, the core increments
+// the sequence of its own record and floods it.
 type Announce struct {
-	// Service is the service offered.
+	// Service is the service that the backend server offers.
 	Service string
-	// Slots is the number of requests run at one time.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Connections is the number of connections accepted.
+	// Connections is the number of connections that it accepts.
 	Connections int
-	// Draining says that no new work is taken.
+	// Draining is set when it accepts no new work.
 	Draining bool
-	// Unready says that no request can be served now.
+	// Unready is set when it can't serve any request at present.
 	Unready bool
-	// Instance identifies the start of the backend server; it may be empty.
+	// Instance identifies the instance (one start) of the backend server; it may be empty.
 	Instance string
 	// Version is the version of the backend server's software; it may be empty.
 	Version string
-	// Cold says that the backend server is cold and can handle few requests per second.
+	// Cold is set while the backend server is cold and can handle few requests per second.
 	Cold bool
 }
 
-// Leave reports that the node shuts down gracefully. The core floods its
-// record as left and opens no further links.
+// Leave reports that the node shuts down gracefully. The core floods its own record with
+// the status left and dials no more peers.
 type Leave struct{}
 
-// SeedsLearned replaces the addresses at which other members may be found, each IP:port.
+// SeedsLearned replaces the seeds: the addresses, each IP:port, at which other members may
+// be found.
 type SeedsLearned struct {
-	// Addrs are those of the own zone, and of members whose zone isn't known.
+	// Addrs are the seeds of the own zone and those whose zone is unknown.
 	Addrs []string
-	// Far are those of other zones.
+	// Far are the seeds of other zones.
 	Far []string
 }
 
-// Incarnate answers an IdentityConflict by a higher incarnation.
+// Incarnate resolves an IdentityConflict by a higher incarnation of the own record.
 type Incarnate struct {
-	// Incarnation is ignored unless it is higher than the present one.
+	// Incarnation is ignored unless it is higher than the current one.
 	Incarnation uint64
 }
 
@@ -58,35 +59,35 @@
 // Event implements core.Event.
 func (Incarnate) Event() {}
 
-// TableChanged reports that Table().View() returns a newer view to publish. In
-// a herd of changes the driver may publish a few times a second only: a view
-// copies the index of services.
+// TableChanged reports that Table().View() returns a newer view to publish. When changes
+// are frequent, the driver may publish only a few times a second, because a view copies the
+// index of services.
 type TableChanged struct{}
 
-// MembersChanged reports the live members of the node's own zone.
+// MembersChanged reports a change of the live members of the node's own zone.
 type MembersChanged struct {
-	// Live is in order of node key. It must not be changed.
+	// Live holds them in order of node key. It must not be modified.
 	Live []model.NodeID
 }
 
-// GatewayChanged reports whether the node is a gateway of its zone.
+// GatewayChanged reports that the node became a gateway of its zone or ceased to be one.
 type GatewayChanged struct {
-	// Gateway is true on a gateway.
+	// Gateway is true if the node is now a gateway.
 	Gateway bool
 }
 
-// IdentityConflict reports that the fleet knows a newer record of this node
-// than the node itself: its identity runs elsewhere, or its incarnation was
-// taken from a clock that went back. The driver stops the node or sends
-// Incarnate.
+// IdentityConflict reports that a peer holds a record of this node that is newer than the
+// node's own, or that has the same version but different content. Either another process
+// runs with the same identity, or the node's incarnation was taken from a clock that had
+// been set back. The driver stops the node or sends Incarnate.
 type IdentityConflict struct {
-	// Incarnation is the newest incarnation that the fleet knows.
+	// Incarnation is the incarnation of that record.
 	Incarnation uint64
 }
 
-// Refused reports a record that was not taken in, for the log.
+// Refused reports a record that was rejected, for the log.
 type Refused struct {
-	// From is the peer that sent it.
+	// From is the peer that sent the record.
 	From model.NodeID
 	// Err is an *endpoint.InvalidRecordError, *ConflictError or *FullError.
 	Err error
@@ -107,8 +108,8 @@
 // Action implements core.Action.
 func (Refused) Action() {}
 
-// ConflictError reports a record in this node's name that has its incarnation
-// and sequence but other content.
+// ConflictError reports a received record of this node that has the incarnation and
+// sequence of the own record but different content.
 type ConflictError struct {
 	// Incarnation and Sequence are those of the record.
 	Incarnation, Sequence uint64
@@ -116,37 +117,40 @@
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("record in own name with other content: incarnation %d sequence %d",
+	return fmt.Sprintf("received record of this node has the same version but different content: incarnation %d sequence %d",
 		e.Incarnation, e.Sequence)
 }
 
-// FullError reports a new node's record that exceeds Config.MaxRecords.
+// FullError reports that the record of a new node was rejected because the table already
+// holds Config.MaxRecords records.
 type FullError struct {
-	// Node is the owner of the record.
+	// Node is the node that the record describes.
 	Node model.NodeID
-	// Max is the table's bound.
+	// Max is the table's capacity in records.
 	Max int
 }
 
 // Error implements error.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("record of node %s refused: table holds %d records", e.Node, e.Max)
+	return fmt.Sprintf("record of node %s rejected: table is full with %d records", e.Node, e.Max)
 }
 
-// Stats counts what the core has done since it started.
+// Stats holds counters of the core since its start.
 type Stats struct {
-	// Refused counts records that were not taken in.
+	// Refused counts rejected records.
 	Refused uint64
-	// Suspected counts suspicions that this node raised.
+	// Suspected counts suspicions raised by this node.
 	Suspected uint64
-	// Withheld counts suspicions that the cap kept back.
+	// Withheld counts suspicions that were not raised because of the cap.
 	Withheld uint64
-	// Failed counts members that this node found failed.
+	// Failed counts members that this node marked as failed.
 	Failed uint64
-	// Refuted counts refutations of this node's own death.
+	// Refuted counts how often this node refuted a record that marked it as suspect or
+	// dead.
 	Refuted uint64
-	// TurnedAway counts peers refused for want of room.
+	// TurnedAway counts peers rejected because of Config.MaxPeers.
 	TurnedAway uint64
-	// Deferred counts RecordsRequests not answered for want of budget.
+	// Deferred counts RecordsRequests left unanswered because the response budget was
+	// exhausted.
 	Deferred uint64
 }
--- a/coordination/member/fleet_test.go
+++ b/coordination/member/fleet_test.go
@@ -50,7 +50,7 @@
 	n.resetCounts()
 	x := n.nodes[record(2, perZone/2).Node]
 	n.step(x, Announce{Service: x.rec.Service, Slots: 10, Connections: 110, Draining: true})
-	drainTime := n.until("drain", 10*time.Second, func(o *node) bool {
+	drainTime := n.runUntil("drain", 10*time.Second, func(o *node) bool {
 		r, held := o.core.Table().Get(x.id)
 		return held && r.Draining
 	})
@@ -58,11 +58,11 @@
 	b.ReportMetric(float64(n.bytes), "drain-B")
 
 	n.crash(x.id)
-	failureTime := n.until("death", time.Minute, holds(x.id, endpoint.StatusFailed))
+	failureTime := n.runUntil("death", time.Minute, hasStatus(x.id, endpoint.StatusFailed))
 	b.ReportMetric(failureTime.Seconds(), "death-s")
 
 	n.start(x.id)
-	restartTime := n.until("return", time.Minute, holds(x.id, endpoint.StatusAlive))
+	restartTime := n.runUntil("return", time.Minute, hasStatus(x.id, endpoint.StatusAlive))
 	b.ReportMetric(restartTime.Seconds(), "return-s")
 }
 
--- a/coordination/member/gateway.go
+++ b/coordination/member/gateway.go
@@ -11,7 +11,7 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// candidate is a member that may become a gateway of its zone.
+// candidate is a live member of a zone that may be chosen as its gateway.
 type candidate struct {
 	id    model.NodeID
 	key   model.NodeKey
@@ -19,10 +19,10 @@
 	ready bool
 }
 
-// gatewaySalt keeps the ranks of gateways apart from other uses of the key.
+// gatewaySalt separates the gateway ranks from other hashes of the node key.
 const gatewaySalt = 0x67617465776179
 
-// rankOf is a node's rank in the rendezvous hash.
+// rankOf returns a node's rank in the rendezvous hashing that chooses gateways.
 func rankOf(k model.NodeKey) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], uint64(k))
@@ -30,8 +30,7 @@
 	return xxhash.Sum64(b[:])
 }
 
-// compareCandidates puts ready members before others and higher ranks before
-// lower ones.
+// compareCandidates sorts ready members before unready ones, then by descending rank.
 func compareCandidates(a, b candidate) int {
 	if a.ready != b.ready {
 		if a.ready {
@@ -42,8 +41,8 @@
 	return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.id, b.id))
 }
 
-// chooseGateways returns the gateways of a zone. They follow from the table
-// alone, so that members with the same table choose the same ones.
+// chooseGateways returns the gateways of a zone. The choice depends on the table alone, so
+// that members with the same table choose the same ones.
 func (c *Core) chooseGateways(zone model.Zone) []candidate {
 	var best []candidate
 	c.table.EachLive(zone, func(r *endpoint.Record, k model.NodeKey) bool {
--- a/coordination/member/joining.go
+++ b/coordination/member/joining.go
@@ -9,35 +9,37 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// joining finds the fleet at the start, and parts of it that were lost.
+// joining is the state of discovery: of the fleet after a start, and of parts of it to
+// which the links were lost.
 type joining struct {
-	seeds    []string // near ones first; see setSeeds
-	near     int      // number of near seeds
-	pos      int
-	failures int
-	next     time.Time // next attempt without a link
-	rejoin   time.Time // next attempt to find a lost part
-	// wait is the time between two such attempts.
-	wait time.Duration
-	// silent is since when each other zone has no link.
-	silent map[model.Zone]time.Time
+	seeds      []string  // near ones (own or unknown zone) first; see setSeeds
+	nearCount  int       // number of near seeds
+	nextSeed   int       // index into seeds, modulo their number
+	failures   int       // seeds dialled since there was last a link
+	nextSeedAt time.Time // when the next seed is dialled while there is no link
+	rejoinAt   time.Time // when the next attempt to find a lost part of the fleet is made
+	// rejoinWait is the delay between two attempts to find a lost part.
+	rejoinWait time.Duration
+	// zoneDialAt holds, for each other zone without a link, when a gateway dials a random
+	// member of it.
+	zoneDialAt map[model.Zone]time.Time
 }
 
-// failedRetry is how long after its death a failed member is still tried: two
-// parts of a zone that found each other failed meet again by it.
-const failedRetry = time.Hour
+// failedRetryWindow is how long after its death a failed member is still dialled, so that
+// two parts of a zone that marked each other as failed can reconnect.
+const failedRetryWindow = time.Hour
 
-// setSeeds replaces the seeds. Near ones, which include those whose zone isn't known, come
-// before far ones, those of other zones; both are in random order.
+// setSeeds replaces the seeds. Near ones, those of the own or an unknown zone, come before
+// far ones, those of other zones; each group is in random order.
 func (c *Core) setSeeds(near, far []string) {
 	near = c.shuffled(near)
 	far = slices.DeleteFunc(c.shuffled(far), func(a string) bool { return slices.Contains(near, a) })
 	c.joining.seeds = slices.Concat(near, far)
-	c.joining.near = len(near)
-	c.joining.pos = 0
+	c.joining.nearCount = len(near)
+	c.joining.nextSeed = 0
 }
 
-// shuffled returns addrs without duplicates and the own address, in random order.
+// shuffled returns addrs in random order, without duplicates and the own address.
 func (c *Core) shuffled(addrs []string) []string {
 	addrs = slices.Clone(addrs)
 	slices.Sort(addrs)
@@ -47,9 +49,9 @@
 	return addrs
 }
 
-// dialOthers dials beyond the overlay: seeds while there is no link, and now
-// and then an address that may lead to a part of the fleet without a link.
-func (c *Core) dialOthers() {
+// dialForDiscovery dials addresses outside the overlay: seeds while there is no link, and
+// otherwise, periodically, addresses that may lead to a part of the fleet without a link.
+func (c *Core) dialForDiscovery() {
 	if c.left {
 		return
 	}
@@ -58,113 +60,114 @@
 		return
 	}
 	c.joining.failures = 0
-	c.reachSilentZones()
+	c.dialUnlinkedZones()
 	c.rejoin()
 }
 
-// dialSeed tries the next seed with backoff.
+// dialSeed dials the next seed, with backoff between rounds.
 func (c *Core) dialSeed() {
 	j := &c.joining
-	if len(j.seeds) == 0 || c.now.Before(j.next) || !c.takeConnect() {
+	if len(j.seeds) == 0 || c.now.Before(j.nextSeedAt) || !c.takeDialToken() {
 		return
 	}
-	addr := j.seeds[j.pos%len(j.seeds)]
-	j.pos++
-	j.next = c.nextSeed(j.failures / len(j.seeds)) // each seed once a round
+	addr := j.seeds[j.nextSeed%len(j.seeds)]
+	j.nextSeed++
+	j.nextSeedAt = c.seedRetryTime(j.failures / len(j.seeds)) // a round dials each seed once
 	j.failures++
-	c.act(core.Connect{Addr: addr})
+	c.emit(core.Connect{Addr: addr})
 }
 
-// nextSeed returns when the next seed is tried after so many rounds in vain. In
-// the first round a seed that doesn't answer, since its host starts at this very
-// moment or is gone, holds up the next one only shortly.
-func (c *Core) nextSeed(rounds int) time.Time {
+// seedRetryTime returns when to dial the next seed after the given number of complete
+// rounds. In the first round the delay is short, so that a seed that doesn't respond,
+// because its host is just starting or is gone, barely delays the next one.
+func (c *Core) seedRetryTime(rounds int) time.Time {
 	if rounds == 0 {
 		return c.now.Add(c.cfg.RejoinMin/2 + c.jitter(c.cfg.RejoinMin))
 	}
 	t := target{failures: rounds - 1}
 	c.backOff(&t)
-	return t.next
+	return t.notBefore
 }
 
-// rejoin tries, now and then, an address at which no live member is known: a
-// seed, or a member of the own zone that failed lately. The members draw lots for
-// the failed ones, so that together they try each about once in RejoinInterval,
-// however large the zone is. A node that has just started tries more often: where
-// all start at once each finds a few others first, and these parts have to meet.
+// rejoin periodically dials an address at which the table has no live member: a seed, or a
+// recently failed member of the own zone. Each member choices at random whether it dials a
+// failed one, so that together the members dial each of these about once per
+// RejoinInterval, regardless of the zone's size. A recently started node dials more often:
+// when all nodes start at once, each finds only a few others at first, and these groups
+// have to merge.
 func (c *Core) rejoin() {
 	j := &c.joining
-	if j.wait == 0 {
-		j.wait = c.cfg.RejoinMin
-		j.rejoin = c.now.Add(c.jitter(j.wait))
+	if j.rejoinWait == 0 {
+		j.rejoinWait = c.cfg.RejoinMin
+		j.rejoinAt = c.now.Add(c.jitter(j.rejoinWait))
 	}
-	if c.now.Before(j.rejoin) {
+	if c.now.Before(j.rejoinAt) {
 		return
 	}
-	j.rejoin = c.now.Add(j.wait)
-	j.wait = min(2*j.wait, c.cfg.RejoinInterval)
-	seeds, failed := c.lostAddrs()
-	if len(seeds) > 0 && c.takeConnect() {
-		c.act(core.Connect{Addr: seeds[c.rng.IntN(len(seeds))]})
+	j.rejoinAt = c.now.Add(j.rejoinWait)
+	j.rejoinWait = min(2*j.rejoinWait, c.cfg.RejoinInterval)
+	seeds, failed := c.rejoinAddrs()
+	if len(seeds) > 0 && c.takeDialToken() {
+		c.emit(core.Connect{Addr: seeds[c.rng.IntN(len(seeds))]})
 	}
-	lots := max(1, len(failed), len(c.overlay.live))
-	if lot := c.rng.IntN(lots); lot < len(failed) && c.takeConnect() {
-		c.act(core.Connect{Addr: failed[lot]})
+	choices := max(1, len(failed), len(c.overlay.live))
+	if draw := c.rng.IntN(choices); draw < len(failed) && c.takeDialToken() {
+		c.emit(core.Connect{Addr: failed[draw]})
 	}
 }
 
-// lostAddrs returns the seeds at which no live member is known, and the
-// addresses of the own zone's members that failed lately. Seeds of other zones are left to
-// the gateways: each link to another zone carries a copy of all records.
-func (c *Core) lostAddrs() (seeds, failed []string) {
-	known := make(map[string]bool)
-	oldest := c.now.Add(-failedRetry).Unix()
+// rejoinAddrs returns the seeds at which the table has no live member, and the addresses of
+// recently failed members of the own zone. Only gateways get seeds of other zones, because
+// each link to another zone transfers a copy of all records.
+func (c *Core) rejoinAddrs() (seeds, failed []string) {
+	live := make(map[string]bool)
+	oldest := c.now.Add(-failedRetryWindow).Unix()
 	c.table.Each(func(r *endpoint.Record, _ model.NodeKey) bool {
 		switch {
 		case r.Live():
-			known[r.PeerAddr] = true
+			live[r.PeerAddr] = true
 		case r.Status == endpoint.StatusFailed && r.Zone == c.self.Zone && r.Died > oldest:
 			failed = append(failed, r.PeerAddr)
 		}
 		return true
 	})
-	isKnown := func(addr string) bool { return known[addr] }
+	isLive := func(addr string) bool { return live[addr] }
 	seeds = c.joining.seeds
 	if !c.overlay.gateway {
-		seeds = seeds[:c.joining.near]
+		seeds = seeds[:c.joining.nearCount]
 	}
-	seeds = slices.DeleteFunc(slices.Clone(seeds), isKnown)
-	failed = slices.DeleteFunc(failed, isKnown)
+	seeds = slices.DeleteFunc(slices.Clone(seeds), isLive)
+	failed = slices.DeleteFunc(failed, isLive)
 	slices.Sort(failed)
 	return seeds, failed
 }
 
-// reachSilentZones lets a gateway try any member of a zone to which it has had
-// no link for a while: all gateways that the table names may be gone.
-func (c *Core) reachSilentZones() {
+// dialUnlinkedZones lets a gateway dial any member of a zone to which it has had no link
+// for ZoneSilentAfter: all gateways of that zone according to the table may be gone.
+func (c *Core) dialUnlinkedZones() {
 	j := &c.joining
 	if !c.overlay.gateway {
-		j.silent = nil
+		j.zoneDialAt = nil
 		return
 	}
-	if j.silent == nil {
-		j.silent = make(map[model.Zone]time.Time)
+	if j.zoneDialAt == nil {
+		j.zoneDialAt = make(map[model.Zone]time.Time)
 	}
-	for _, zone := range c.overlay.zones {
-		due, waits := j.silent[zone]
+	for _, zone := range c.overlay.otherZones {
+		due, scheduled := j.zoneDialAt[zone]
 		switch {
 		case c.linkedTo(zone):
-			delete(j.silent, zone)
-		case !waits:
-			j.silent[zone] = c.now.Add(c.cfg.ZoneSilentAfter)
-		case !c.now.Before(due) && c.takeConnect():
-			j.silent[zone] = c.now.Add(c.cfg.ZoneSilentAfter/2 + c.jitter(c.cfg.ZoneSilentAfter))
+			delete(j.zoneDialAt, zone)
+		case !scheduled:
+			j.zoneDialAt[zone] = c.now.Add(c.cfg.ZoneSilentAfter)
+		case !c.now.Before(due) && c.takeDialToken():
+			j.zoneDialAt[zone] = c.now.Add(c.cfg.ZoneSilentAfter/2 + c.jitter(c.cfg.ZoneSilentAfter))
 			c.dialMemberOf(zone)
 		}
 	}
 }
 
-// linkedTo reports whether there is a link to a zone.
+// linkedTo reports whether there is a link to a member of the zone.
 func (c *Core) linkedTo(zone model.Zone) bool {
 	return slices.ContainsFunc(c.links, func(l *link) bool { return l.zone == zone && !l.closing })
 }
@@ -180,5 +183,5 @@
 		return
 	}
 	slices.Sort(addrs)
-	c.act(core.Connect{Addr: addrs[c.rng.IntN(len(addrs))]})
+	c.emit(core.Connect{Addr: addrs[c.rng.IntN(len(addrs))]})
 }
--- a/coordination/member/links.go
+++ b/coordination/member/links.go
@@ -11,21 +11,21 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// link is a connection to a peer.
+// link is the state of a connection to a peer.
 type link struct {
-	node    model.NodeID
-	zone    model.Zone
-	since   time.Time // when it came up
-	heard   time.Time // last message received
-	sent    time.Time // last message sent
-	closeAt time.Time // when to close it unless it is wanted; zero for not set
-	compare time.Time // when to send a digest to this peer; zero for not
-	kept    bool      // wanted by this node or, by its table, by the peer
-	closing bool      // Disconnect was asked for
+	node         model.NodeID
+	zone         model.Zone
+	connectedAt  time.Time // when the connection was established
+	lastReceived time.Time // when a message was last received from the peer
+	lastSent     time.Time // when a message was last sent to the peer
+	closeAt      time.Time // when to close the link unless it is wanted; zero if not set
+	compareAt    time.Time // when to send a digest to the peer; zero if not scheduled
+	wanted       bool      // by this node or, according to the table, by the peer
+	closing      bool      // Disconnect was emitted
 }
 
-// referral is the number of members named to a peer that is turned away.
-const referral = 8
+// referralSize is the number of members referred to a peer that is rejected.
+const referralSize = 8
 
 func compareLink(l *link, id model.NodeID) int { return cmp.Compare(l.node, id) }
 
@@ -44,40 +44,41 @@
 		c.reportConflict(version{ev.Incarnation, 0})
 	}
 	if id == c.self.Node {
-		return // the node's own address was among the seeds
+		return // the seeds included the node's own address
 	}
 	if err := endpoint.Validate(&ev.Record); err != nil {
 		c.refuse(id, err)
-		c.act(core.Disconnect{Node: id})
+		c.emit(core.Disconnect{Node: id})
 		return
 	}
 	i, found := slices.BinarySearchFunc(c.links, id, compareLink)
 	if !found {
-		c.links = slices.Insert(c.links, i, &link{node: id, since: c.now})
+		c.links = slices.Insert(c.links, i, &link{node: id, connectedAt: c.now})
 	}
 	l := c.links[i]
 	l.zone = ev.Record.Zone
-	l.heard, l.sent = c.now, c.now
+	l.lastReceived, l.lastSent = c.now, c.now
 	l.closing = false
-	c.detector.alone = 0
+	c.detector.isolatedSuspicions = 0
 	c.dialer.connected(id)
-	c.takeRecords(id, []endpoint.Record{ev.Record})
-	l.kept = c.keeps(l)
-	if c.turnAway(l) {
+	c.handleRecords(id, []endpoint.Record{ev.Record})
+	l.wanted = c.isWanted(l)
+	if c.rejectExcessPeer(l) {
 		return
 	}
-	c.takeDigest(id, ev.Digest)
+	c.handleDigest(id, ev.Digest)
 }
 
-// turnAway closes a new link when there is no room for it, and names some
-// members that the peer may try instead.
-func (c *Core) turnAway(l *link) bool {
-	if len(c.links) <= c.cfg.MaxPeers || l.kept {
+// rejectExcessPeer closes a new link that exceeds MaxPeers and isn't wanted. It first sends
+// the peer the records of some members that it may dial instead. It reports whether it
+// closed the link.
+func (c *Core) rejectExcessPeer(l *link) bool {
+	if len(c.links) <= c.cfg.MaxPeers || l.wanted {
 		return false
 	}
 	c.stats.TurnedAway++
 	var recs []endpoint.Record
-	for range min(referral, len(c.overlay.live)) {
+	for range min(referralSize, len(c.overlay.live)) {
 		r, held := c.table.Get(c.overlay.live[c.rng.IntN(len(c.overlay.live))])
 		if held {
 			recs = append(recs, r)
@@ -95,27 +96,27 @@
 	}
 	l := c.links[i]
 	c.links = slices.Delete(c.links, i, i+1)
-	c.lostLink(l)
+	c.scheduleRedial(l)
 }
 
 func (c *Core) disconnect(l *link) {
 	l.closing = true
-	c.act(core.Disconnect{Node: l.node})
+	c.emit(core.Disconnect{Node: l.node})
 }
 
-// Sent notes that another core sends a message to a peer. It proves the link
-// alive as well as a heartbeat, which is then saved.
+// Sent records that another core of this node sends a message to a peer. Any message proves
+// the link alive, so the next heartbeat is postponed.
 func (c *Core) Sent(now time.Time, to model.NodeID) {
 	if l := c.link(to); l != nil {
-		l.sent = now
+		l.lastSent = now
 	}
 }
 
-// sendHeartbeats proves idle links alive by an empty Digest. It is urgent: it
-// is a few bytes, and behind a long transfer it would come too late.
+// sendHeartbeats sends an empty Digest on each idle link. It has urgent priority, since it
+// is only a few bytes and would arrive too late behind a long transfer.
 func (c *Core) sendHeartbeats() {
 	for _, l := range c.links {
-		if !l.closing && c.now.Sub(l.sent) >= c.cfg.HeartbeatInterval {
+		if !l.closing && c.now.Sub(l.lastSent) >= c.cfg.HeartbeatInterval {
 			c.send(l, message.Urgent, &message.Digest{})
 		}
 	}
--- a/coordination/member/member_test.go
+++ b/coordination/member/member_test.go
@@ -15,8 +15,8 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// TestMain keeps the number of random runs small enough for the race detector;
-// -rapid.checks on the command line raises it.
+// TestMain limits the number of random runs for the race detector; -rapid.checks on the
+// command line raises it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.checks", "20"); err != nil {
 		panic(err)
@@ -25,82 +25,85 @@
 	os.Exit(m.Run())
 }
 
-func started(t testing.TB, zones, per int) *network {
-	n := newNetwork(t, zones, per, 7)
-	took := n.until("convergence after a cold start", 30*time.Second, n.agreed)
-	t.Logf("%d nodes agreed %v after a cold start", zones*per, took)
+// convergedNetwork returns a network whose nodes have converged after a cold start and have
+// closed surplus links.
+func convergedNetwork(t testing.TB, zones, perZone int) *network {
+	n := newNetwork(t, zones, perZone, 7)
+	took := n.runUntil("convergence after a cold start", 30*time.Second, n.agreed)
+	t.Logf("%d nodes agreed %v after a cold start", zones*perZone, took)
 	n.runFor(20 * time.Second) // surplus links close
 	return n
 }
 
 func TestCrashedMemberFailsEverywhere(t *testing.T) {
 	t.Parallel()
-	n := started(t, 3, 17)
+	n := convergedNetwork(t, 3, 17)
 	id := model.NodeID("node-a-0004")
 	n.crash(id)
-	took := n.until("failed", 15*time.Second, holds(id, endpoint.StatusFailed))
-	t.Logf("failed on all after %v", took)
+	took := n.runUntil("failed", 15*time.Second, hasStatus(id, endpoint.StatusFailed))
+	t.Logf("marked as failed on all nodes after %v", took)
 	n.runFor(30 * time.Second)
-	must.True(t, n.all(n.agreed), must.Sprint("only the crashed node is dead"))
+	must.True(t, n.all(n.agreed), must.Sprint("only the crashed node is marked as dead"))
 }
 
-func TestHerdOfHalfAZoneFailsAndReturns(t *testing.T) {
+func TestHalfAZoneFailsAndRestarts(t *testing.T) {
 	t.Parallel()
-	n := started(t, 3, 16)
+	n := convergedNetwork(t, 3, 16)
 	for i := range 8 {
 		n.crash(record(0, i).Node)
 	}
-	took := n.until("herd failed", 2*time.Minute, n.agreed)
-	t.Logf("8 of 16 members failed on all after %v", took)
+	took := n.runUntil("half of the zone failed", 2*time.Minute, n.agreed)
+	t.Logf("8 of 16 members marked as failed on all nodes after %v", took)
 	for i := range 8 {
 		n.start(record(0, i).Node)
 	}
-	took = n.until("herd returned", 30*time.Second, n.agreed)
-	t.Logf("they were back on all after %v", took)
+	took = n.runUntil("half of the zone restarted", 30*time.Second, n.agreed)
+	t.Logf("marked as alive on all nodes after %v", took)
 }
 
-// All hosts of a site have lost power and start within 0.3 s. What the store
-// names are the seeds, hosts that are gone for good among them. A host without
-// power doesn't answer, so whoever dials it too early hears nothing for seconds.
-// All agree 0.29 s after the last start on the mean of twenty sites, 0.95 s at
-// most; with BackoffMin between two seeds and RejoinInterval between two tries to
-// find the others it was 3.3 s, and 7.6 s at most.
-func TestSiteThatStartsAtOnceFindsItself(t *testing.T) {
+// All hosts of a site lost power and start again within 0.3 s. The seeds come from the
+// store and include hosts that are gone for good. A host without power doesn't respond, so
+// dialling it too early takes seconds to fail. Over twenty sites, all nodes agree 0.29 s
+// after the last start on average, and 0.95 s at most. With BackoffMin between two seeds
+// and RejoinInterval between two attempts to find other groups it took 3.3 s on average,
+// and 7.6 s at most.
+func TestSimultaneousSiteStartConverges(t *testing.T) {
 	t.Parallel()
-	var sum, most time.Duration
+	var sum, longest time.Duration
 	const sites = 20
 	for seed := range uint64(sites) {
 		n := newNetwork(t, 3, 6, seed)
-		n.cut = func(a, b *node) bool { return !a.up || !b.up }
+		n.partitioned = func(a, b *node) bool { return !a.up || !b.up }
 		for _, id := range n.ids {
 			n.seeds = append(n.seeds, n.nodes[id].rec.PeerAddr)
 		}
 		n.runFor(2 * time.Second)
 		for i, id := range n.ids {
 			n.crash(id)
-			if i%6 < 5 { // one in each zone is gone
+			if i%6 < 5 { // one host in each zone stays down
 				n.after(time.Duration(n.rng.Int64N(int64(300*time.Millisecond))), func() { n.start(id) })
 			}
 		}
 		n.runFor(300 * time.Millisecond)
-		took := n.until("all found", 20*time.Second, n.agreed)
-		sum, most = sum+took, max(most, took)
+		took := n.runUntil("convergence of all nodes", 20*time.Second, n.agreed)
+		sum, longest = sum+took, max(longest, took)
 	}
-	t.Logf("all agreed %v after the last start, at most %v", sum/sites, most)
+	t.Logf("all agreed %v after the last start, at most %v", sum/sites, longest)
 	must.LessEq(t, 600*time.Millisecond, sum/sites)
-	must.LessEq(t, 1500*time.Millisecond, most)
+	must.LessEq(t, 1500*time.Millisecond, longest)
 }
 
-// A large site registers a few nodes of each zone only. Where all of it restarts at
-// once, nodes find each other by these as soon as by the addresses of all.
-func TestFewAddressesAreEnoughToFindALargeSite(t *testing.T) {
+// A large site registers only a few nodes of each zone. When the whole site restarts at
+// once, nodes must find each other as fast with these seeds as with the addresses of all
+// nodes.
+func TestFewSeedsSufficeForALargeSite(t *testing.T) {
 	t.Parallel()
-	const zones, per = 5, 20
-	known := func(registered int) float64 {
-		n := newNetwork(t, zones, per, 3)
-		n.cut = func(a, b *node) bool { return !a.up || !b.up }
+	const zones, perZone = 5, 20
+	meanRecordsHeld := func(registered int) float64 {
+		n := newNetwork(t, zones, perZone, 3)
+		n.partitioned = func(a, b *node) bool { return !a.up || !b.up }
 		for i, id := range n.ids {
-			if i%per < registered {
+			if i%perZone < registered {
 				n.seeds = append(n.seeds, n.nodes[id].rec.PeerAddr)
 			}
 		}
@@ -119,67 +122,68 @@
 				return true
 			})
 		}
-		return float64(sum) / (zones * per)
+		return float64(sum) / (zones * perZone)
 	}
-	few, all := known(8), known(per)
-	t.Logf("of %d nodes each knows %.1f a second after the return with 8 addresses a zone, %.1f with all", zones*per, few, all)
-	must.GreaterEq(t, 0.97*zones*per, few)
-	must.GreaterEq(t, 0.97*all, few)
+	withFew, withAll := meanRecordsHeld(8), meanRecordsHeld(perZone)
+	t.Logf("of %d nodes each holds %.1f records one second after the restart with 8 seeds per zone, %.1f with all", zones*perZone, withFew, withAll)
+	must.GreaterEq(t, 0.97*zones*perZone, withFew)
+	must.GreaterEq(t, 0.97*withAll, withFew)
 }
 
-// Guards against every starting node copying all records from a seed in another zone. Gateways
-// need only some copies of each record to each zone.
+// Guards against every starting node copying all records from a seed in another zone. The
+// gateways need only a few copies of each record to each zone.
 func TestStartOfALargeSiteCostsFewBytesBetweenZones(t *testing.T) {
 	t.Parallel()
 	const zones, registered, copies = 5, 8, 16
-	for _, per := range []int{20, 50} {
-		n := newNetwork(t, zones, per, 3)
+	for _, perZone := range []int{20, 50} {
+		n := newNetwork(t, zones, perZone, 3)
 		n.seedsByZone = true
 		for i, id := range n.ids {
-			if i%per < registered {
+			if i%perZone < registered {
 				n.seeds = append(n.seeds, n.nodes[id].rec.PeerAddr)
 			}
 		}
 		n.runFor(time.Second)
-		n.until("all found", 10*time.Second, n.agreed)
+		n.runUntil("convergence of all nodes", 10*time.Second, n.agreed)
 		r := record(0, 0)
-		need := len(n.ids) * (zones - 1) * sizeOf(&r)
-		t.Logf("%d nodes: %d KB between zones, %.1f copies of each record to each zone", len(n.ids), n.crossZoneBytes/1000, float64(n.crossZoneBytes)/float64(need))
-		must.LessEq(t, copies*need, n.crossZoneBytes)
+		oneCopyBytes := len(n.ids) * (zones - 1) * estimateSize(&r)
+		t.Logf("%d nodes: %d KB between zones, %.1f copies of each record to each zone", len(n.ids), n.crossZoneBytes/1000, float64(n.crossZoneBytes)/float64(oneCopyBytes))
+		must.LessEq(t, copies*oneCopyBytes, n.crossZoneBytes)
 	}
 }
 
-// Guards against gateways of third zones passing on changes in a large fleet. Only the changed
-// node's own zone sends them to each other zone, from two gateways to two peers each.
+// Guards against gateways of third zones relaying changes in a large fleet. Only the
+// changed node's own zone sends a change to each other zone, from two gateways to two peers
+// each.
 func TestChangeCrossesToEachZoneFewTimes(t *testing.T) {
 	t.Parallel()
 	const zones = 5
-	n := started(t, zones, 30)
+	n := convergedNetwork(t, zones, 30)
 	x := n.nodes[record(2, 7).Node]
 	r := x.core.Self()
 	n.resetCounts()
 	n.step(x, Announce{Service: x.rec.Service, Slots: 10, Connections: 110, Draining: true})
 	n.runFor(200 * time.Millisecond)
 	must.True(t, n.all(n.agreed))
-	must.LessEq(t, 4*(zones-1)*sizeOf(&r), n.crossZoneBytes)
+	must.LessEq(t, 4*(zones-1)*estimateSize(&r), n.crossZoneBytes)
 }
 
-// Guards against zones of a large fleet that have no links to each other missing a drain, which
-// must reach them through a third zone within the time allowed for drains.
-func TestChangeReachesAZoneWithoutALink(t *testing.T) {
+// Guards against a drain being lost between zones of a large fleet that have no links to
+// each other. It must reach them through a third zone within the time allowed for drains.
+func TestChangeReachesUnlinkedZone(t *testing.T) {
 	t.Parallel()
-	n := started(t, 3, 50)
-	n.cut = func(a, b *node) bool {
+	n := convergedNetwork(t, 3, 50)
+	n.partitioned = func(a, b *node) bool {
 		return a.rec.Zone != b.rec.Zone && a.rec.Zone != "zone-b" && b.rec.Zone != "zone-b"
 	}
 	n.runFor(5 * time.Second)
 	x := n.nodes[record(0, 5).Node]
 	n.step(x, Announce{Service: x.rec.Service, Slots: 10, Connections: 110, Draining: true})
-	n.until("the drain is known everywhere", 2500*time.Millisecond, n.agreed)
+	n.runUntil("drain on all nodes", 2500*time.Millisecond, n.agreed)
 }
 
-// A zone without live seeds of its own must join by seeds of other zones.
-func TestZoneWithoutSeedsOfItsOwnIsFound(t *testing.T) {
+// A zone without live seeds of its own must join through seeds of other zones.
+func TestZoneWithoutOwnSeedsJoins(t *testing.T) {
 	t.Parallel()
 	n := newNetwork(t, 3, 6, 4)
 	n.seedsByZone = true
@@ -187,34 +191,34 @@
 		n.seeds = append(n.seeds, n.nodes[id].rec.PeerAddr) // of the first zone
 	}
 	n.runFor(time.Second)
-	n.until("all found", 5*time.Second, n.agreed)
+	n.runUntil("convergence of all nodes", 5*time.Second, n.agreed)
 }
 
 func TestOverlayStaysConnectedWithoutAnyNode(t *testing.T) {
 	t.Parallel()
-	n := started(t, 2, 25)
-	most := 0
+	n := convergedNetwork(t, 2, 25)
+	maxLinks := 0
 	for _, id := range n.ids {
 		must.True(t, n.connected(id), must.Sprintf("without %s", id))
-		most = max(most, len(n.nodes[id].core.Neighbours()))
+		maxLinks = max(maxLinks, len(n.nodes[id].core.Neighbours()))
 	}
-	t.Logf("at most %d links on a node", most)
+	t.Logf("at most %d links per node", maxLinks)
 }
 
-func TestZoneCutEvictsNobodyAcross(t *testing.T) {
+func TestZonePartitionEvictsNoMembers(t *testing.T) {
 	t.Parallel()
-	n := started(t, 3, 8)
-	n.cut = func(a, b *node) bool { return a.rec.Zone != b.rec.Zone }
+	n := convergedNetwork(t, 3, 8)
+	n.partitioned = func(a, b *node) bool { return a.rec.Zone != b.rec.Zone }
 	n.runFor(2 * time.Minute)
-	must.True(t, n.all(n.agreed), must.Sprint("a cut between zones changes no record"))
-	// The gateways that the far sides know die, so that their dials fail.
+	must.True(t, n.all(n.agreed), must.Sprint("a partition between zones changes no record"))
+	// The gateways in the other zones' tables crash, so that dialling them fails.
 	for _, id := range n.ids {
 		if x := n.nodes[id]; x.core.Gateway() {
 			n.crash(id)
 		}
 	}
-	// Every other member of one zone restarts: the far side's incarnations are
-	// out of date.
+	// The remaining members of one zone restart, so that their incarnations in the other zones'
+	// tables are stale.
 	for i := range 8 {
 		if id := record(1, i).Node; n.nodes[id].up {
 			n.crash(id)
@@ -222,77 +226,77 @@
 		}
 	}
 	n.runFor(time.Minute)
-	n.cut = func(_, _ *node) bool { return false }
-	took := n.until("convergence after heal", time.Minute, n.agreed)
-	t.Logf("tables agreed %v after the heal", took)
+	n.partitioned = func(_, _ *node) bool { return false }
+	took := n.runUntil("convergence after the partition", time.Minute, n.agreed)
+	t.Logf("tables agreed %v after the partition ended", took)
 }
 
-func TestRackCutHeals(t *testing.T) {
+func TestRackPartitionHeals(t *testing.T) {
 	t.Parallel()
-	n := started(t, 1, 16)
+	n := convergedNetwork(t, 1, 16)
 	rack := func(x *node) bool { return x.id < "node-a-0004" }
 	for _, id := range n.ids {
-		n.step(n.nodes[id], SeedsLearned{}) // no help from the platform
+		n.step(n.nodes[id], SeedsLearned{}) // no seeds from the platform
 	}
-	n.cut = func(a, b *node) bool { return rack(a) != rack(b) }
+	n.partitioned = func(a, b *node) bool { return rack(a) != rack(b) }
 	n.runFor(4 * time.Minute)
-	n.cut = func(_, _ *node) bool { return false }
-	took := n.until("convergence after heal", 2*time.Minute, n.agreed)
-	t.Logf("tables agreed %v after the heal", took)
+	n.partitioned = func(_, _ *node) bool { return false }
+	took := n.runUntil("convergence after the partition", 2*time.Minute, n.agreed)
+	t.Logf("tables agreed %v after the partition ended", took)
 }
 
 func TestIsolatedNodeEvictsFew(t *testing.T) {
 	t.Parallel()
-	n := started(t, 1, 24)
-	alone := n.nodes["node-a-0009"]
-	n.cut = func(a, b *node) bool { return a == alone || b == alone }
+	n := convergedNetwork(t, 1, 24)
+	isolated := n.nodes["node-a-0009"]
+	n.partitioned = func(a, b *node) bool { return a == isolated || b == isolated }
 	n.runFor(5 * time.Minute)
-	must.LessEq(t, 6, alone.core.Stats().Suspected)
-	must.Positive(t, alone.core.Stats().Withheld)
-	n.cut = func(_, _ *node) bool { return false }
-	n.until("convergence after heal", time.Minute, n.agreed)
+	must.LessEq(t, 6, isolated.core.Stats().Suspected)
+	must.Positive(t, isolated.core.Stats().Withheld)
+	n.partitioned = func(_, _ *node) bool { return false }
+	n.runUntil("convergence after the partition", time.Minute, n.agreed)
 }
 
-func TestThawedNodeCantResurrect(t *testing.T) {
+func TestResumedNodeDoesNotReviveDepartedMember(t *testing.T) {
 	t.Parallel()
-	n := started(t, 2, 12)
-	frozen, gone := model.NodeID("node-a-0002"), model.NodeID("node-a-0005")
-	n.nodes[frozen].paused = true
+	n := convergedNetwork(t, 2, 12)
+	paused, departed := model.NodeID("node-a-0002"), model.NodeID("node-a-0005")
+	n.nodes[paused].paused = true
 	n.runFor(5 * time.Second)
-	n.step(n.nodes[gone], Leave{})
+	n.step(n.nodes[departed], Leave{})
 	n.runFor(time.Second)
-	n.crash(gone)
-	n.until("frozen failed", 20*time.Second, holds(frozen, endpoint.StatusFailed))
+	n.crash(departed)
+	n.runUntil("paused member failed", 20*time.Second, hasStatus(paused, endpoint.StatusFailed))
 	n.runFor(5 * time.Minute)
-	n.thaw(frozen)
-	must.Zero(t, n.nodes[frozen].core.Stats().Suspected, must.Sprint("it suspects nobody on waking"))
+	n.resume(paused)
+	must.Zero(t, n.nodes[paused].core.Stats().Suspected, must.Sprint("it suspects nobody when it resumes"))
 	revived := false
-	n.until("thawed is alive again, the other not", 30*time.Second, func(x *node) bool {
-		if x.id != frozen && holds(gone, endpoint.StatusAlive)(x) {
+	n.runUntil("resumed member is alive again, departed one is not", 30*time.Second, func(x *node) bool {
+		if x.id != paused && hasStatus(departed, endpoint.StatusAlive)(x) {
 			revived = true
 		}
 		return n.agreed(x)
 	})
 	must.False(t, revived)
-	must.Zero(t, n.nodes[frozen].core.Stats().Suspected)
-	must.Positive(t, n.nodes[frozen].core.Stats().Refuted)
+	must.Zero(t, n.nodes[paused].core.Stats().Suspected)
+	must.Positive(t, n.nodes[paused].core.Stats().Refuted)
 }
 
-func TestDrainIsKnownEverywhereInTime(t *testing.T) {
+func TestDrainReachesAllNodesInTime(t *testing.T) {
 	t.Parallel()
-	n := started(t, 4, 25)
+	n := convergedNetwork(t, 4, 25)
 	id := model.NodeID("node-c-0011")
 	r := n.nodes[id].rec
 	n.step(n.nodes[id], Announce{Service: r.Service, Slots: r.Slots, Connections: r.Connections, Draining: true})
-	took := n.until("drain known", 3*time.Second, n.agreed)
-	t.Logf("drain known on %d nodes after %v", len(n.ids), took)
+	took := n.runUntil("drain on all nodes", 3*time.Second, n.agreed)
+	t.Logf("drain reached %d nodes after %v", len(n.ids), took)
 }
 
-// A node whose clock went back restarts with an incarnation that its fleet
-// knows already.
+// A node whose clock was set back restarts with an incarnation that the fleet already
+// holds.
 func TestRestartWithOldIncarnationIsReported(t *testing.T) {
 	t.Parallel()
-	n := started(t, 2, 8)
+	n := convergedNetwork(t, 2, 8)
 	x := n.nodes["node-a-0003"]
 	n.crash(x.id)
 	n.runFor(20 * time.Second)
@@ -302,20 +306,20 @@
 	n.runFor(15 * time.Second)
 	must.True(t, x.conflict)
 	n.step(x, Incarnate{Incarnation: 9})
-	n.until("the new incarnation is known", 20*time.Second, n.agreed)
+	n.runUntil("new incarnation on all nodes", 20*time.Second, n.agreed)
 }
 
-// Two members that can't reach each other while all others can.
+// Two members can't reach each other, while all other members can reach both.
 func TestBrokenPairIsNotFailed(t *testing.T) {
 	t.Parallel()
-	n := started(t, 1, 12)
+	n := convergedNetwork(t, 1, 12)
 	x := n.nodes["node-a-0003"]
 	peer := n.nodes[x.core.Neighbours()[0]]
-	n.cut = func(a, b *node) bool { return a == x && b == peer || a == peer && b == x }
+	n.partitioned = func(a, b *node) bool { return a == x && b == peer || a == peer && b == x }
 	n.runFor(5 * time.Minute)
 	must.True(t, n.all(n.agreed))
 	refuted := x.core.Stats().Refuted + peer.core.Stats().Refuted
-	must.Between(t, 1, refuted, 22, must.Sprint("suspicions are refuted, and rare"))
+	must.Between(t, 1, refuted, 22, must.Sprint("few suspicions, each refuted"))
 	for _, id := range n.ids {
 		must.Zero(t, n.nodes[id].core.Stats().Failed)
 	}
@@ -325,30 +329,30 @@
 	t.Parallel()
 	c := New(DefaultConfig(), record(0, 0), nil, 1)
 	now := time.Unix(1_800_000_000, 0)
-	turned := 0
+	rejected := 0
 	for i := range 200 {
 		acts := c.Step(now, core.PeerUp{Record: record(0, i+1)})
 		c.Step(now, core.Tick{})
 		for j, a := range acts {
 			if d, ok := a.(core.Disconnect); ok {
-				turned++
+				rejected++
 				must.Eq(t, record(0, i+1).Node, d.Node)
-				refer := acts[j-1].(core.Send).Message.(*message.Records)
-				must.Len(t, referral, refer.Records)
+				referred := acts[j-1].(core.Send).Message.(*message.Records)
+				must.Len(t, referralSize, referred.Records)
 				c.Step(now, core.PeerDown(d))
 			}
 		}
 	}
-	must.Eq(t, turned, int(c.Stats().TurnedAway))
+	must.Eq(t, rejected, int(c.Stats().TurnedAway))
 	must.Between(t, 32, len(c.Neighbours()), 40)
 	must.Eq(t, 201, c.Table().Len(), must.Sprint("their records are kept"))
 }
 
-// connectsIn counts the attempts to connect in a time without an answer; the
-// attempts fail at once.
-func connectsIn(c *Core, from time.Time, d time.Duration) (times []time.Time) {
+// connectTimes returns the times of all connection attempts within d. Each attempt fails
+// immediately.
+func connectTimes(c *Core, from time.Time, d time.Duration) (times []time.Time) {
 	for now := from; now.Before(from.Add(d)); now = now.Add(100 * time.Millisecond) {
-		for _, dial := range find[core.Connect](c.Step(now, core.Tick{})) {
+		for _, dial := range actionsOf[core.Connect](c.Step(now, core.Tick{})) {
 			times = append(times, now)
 			c.Step(now, core.DialFailed(dial))
 		}
@@ -358,15 +362,15 @@
 
 func TestConnectsBackOffWithJitter(t *testing.T) {
 	t.Parallel()
-	lonely := func(seed uint64) *Core {
+	coreWithSeeds := func(seed uint64) *Core {
 		return New(DefaultConfig(), record(0, 0), []string{"10.0.1.1:1", "10.0.1.2:1"}, seed)
 	}
-	c := lonely(1)
-	first := connectsIn(c, epoch, 40*time.Second)
-	must.Eq(t, first, connectsIn(lonely(1), epoch, 40*time.Second), must.Sprint("same seed"))
-	must.NotEq(t, first, connectsIn(lonely(2), epoch, 40*time.Second), must.Sprint("other seed"))
+	c := coreWithSeeds(1)
+	first := connectTimes(c, epoch, 40*time.Second)
+	must.Eq(t, first, connectTimes(coreWithSeeds(1), epoch, 40*time.Second), must.Sprint("same seed"))
+	must.NotEq(t, first, connectTimes(coreWithSeeds(2), epoch, 40*time.Second), must.Sprint("other seed"))
 	must.Between(t, 8, len(first), 20)
-	must.Between(t, 1, len(connectsIn(c, epoch.Add(40*time.Second), 20*time.Second)), 5)
+	must.Between(t, 1, len(connectTimes(c, epoch.Add(40*time.Second), 20*time.Second)), 5)
 }
 
 func TestConnectsAreLimited(t *testing.T) {
@@ -375,9 +379,9 @@
 	cfg.ChordLinks = 40
 	c := New(cfg, record(0, 0), nil, 1)
 	for i := range 60 {
-		c.takeRecords("", []endpoint.Record{record(0, i+1)})
+		c.handleRecords("", []endpoint.Record{record(0, i+1)})
 	}
-	must.Between(t, 26, len(connectsIn(c, epoch, 5*time.Second)), 28, must.Sprint("8 and 4 a second"))
+	must.Between(t, 26, len(connectTimes(c, epoch, 5*time.Second)), 28, must.Sprint("burst of 8, then 4 per second"))
 }
 
 func TestHostileRecordsAreRefused(t *testing.T) {
@@ -415,27 +419,27 @@
 	dead := record(0, 1)
 	dead.Status, dead.Died = endpoint.StatusLeft, now.Unix()+9999
 	c.Step(now, core.PeerUp{Record: record(0, 2)})
-	give := core.Received{From: record(0, 2).Node, Message: &message.Records{Records: []endpoint.Record{dead}}}
-	c.Step(now, give)
+	received := core.Received{From: record(0, 2).Node, Message: &message.Records{Records: []endpoint.Record{dead}}}
+	c.Step(now, received)
 	held, _ := c.Table().Get(dead.Node)
-	must.Eq(t, now.Unix(), held.Died, must.Sprint("a death in the future is dated now"))
+	must.Eq(t, now.Unix(), held.Died, must.Sprint("a time of death in the future is replaced by the current time"))
 	c.Step(now.Add(25*time.Hour), core.Tick{})
 	must.Eq(t, 0, c.IncarnationOf(dead.Node))
 	dead.Died = now.Unix()
-	give.Message = &message.Records{Records: []endpoint.Record{dead}}
-	c.Step(now.Add(25*time.Hour), give)
-	_, known := c.Table().Get(dead.Node)
-	must.False(t, known, must.Sprint("an old tombstone isn't taken again"))
+	received.Message = &message.Records{Records: []endpoint.Record{dead}}
+	c.Step(now.Add(25*time.Hour), received)
+	_, exists := c.Table().Get(dead.Node)
+	must.False(t, exists, must.Sprint("an expired tombstone isn't stored again"))
 }
 
-// TestFaultsHeal runs random faults, then lets all be well and expects equal,
-// true tables.
-func TestFaultsHeal(t *testing.T) {
+// TestConvergesAfterRandomFaults injects random faults, ends them, and expects equal tables
+// that match the nodes' actual state.
+func TestConvergesAfterRandomFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
 		n := newNetwork(rt, 2, 5, rapid.Uint64().Draw(rt, "seed"))
-		n.until("cold start", 30*time.Second, n.agreed) // later nobody may know the other zone
-		n.drop, n.dup, n.jumble = 0.05, 0.05, 0.1
+		n.runUntil("cold start", 30*time.Second, n.agreed) // otherwise faults may leave no node with an address in the other zone
+		n.drop, n.dup, n.reorder = 0.05, 0.05, 0.1
 		for range rapid.IntRange(1, 6).Draw(rt, "faults") {
 			id := rapid.SampledFrom(n.ids).Draw(rt, "node")
 			x := n.nodes[id]
@@ -448,19 +452,19 @@
 			case 2:
 				x.paused = true
 			case 3:
-				n.cut = func(a, b *node) bool { return a.rec.Zone != b.rec.Zone }
+				n.partitioned = func(a, b *node) bool { return a.rec.Zone != b.rec.Zone }
 			case 4:
 				n.step(x, Announce{Service: "service-1", Slots: rapid.IntRange(1, 9).Draw(rt, "slots")})
 			}
 			n.runFor(time.Duration(rapid.IntRange(0, 20).Draw(rt, "seconds")) * time.Second)
 		}
-		n.cut = func(_, _ *node) bool { return false }
-		n.drop, n.dup, n.jumble = 0, 0, 0
+		n.partitioned = func(_, _ *node) bool { return false }
+		n.drop, n.dup, n.reorder = 0, 0, 0
 		for _, id := range n.ids {
 			if n.nodes[id].paused {
-				n.thaw(id)
+				n.resume(id)
 			}
 		}
-		n.until("heal", 3*time.Minute, n.agreed)
+		n.runUntil("heal", 3*time.Minute, n.agreed)
 	})
 }
--- a/coordination/member/network_test.go
+++ b/coordination/member/network_test.go
@@ -16,57 +16,61 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// network drives cores over virtual time. A crashed, paused or cut peer is
-// silent; only a running process without the connection resets it.
+// network simulates the nodes' cores and the messages between them in virtual time. A
+// crashed, paused or partitioned peer is silent. Only a running process that does not have
+// the connection resets it.
 type network struct {
-	t                 must.T
-	now               time.Time
-	rng               *rand.Rand
-	queue             []task // latest first
-	order             uint64
-	nodes             map[model.NodeID]*node
-	ids               []model.NodeID
-	cut               func(a, b *node) bool
-	seeds             []string // of every node; nil for those of newNetwork
-	seedsByZone       bool     // nodes know which seeds are of their own zone
-	cfg               Config   // of nodes started after it is set
-	drop, dup, jumble float64
-	bytes, messages   int
-	crossZoneBytes    int             // sent to other zones
-	wired             message.Message // sent last
-	size              int             // of it when encoded, in bytes
-	decoded           message.Message // what is received of it
+	t                  must.T
+	now                time.Time
+	rng                *rand.Rand
+	queue              []task // sorted by descending time
+	order              uint64
+	nodes              map[model.NodeID]*node
+	ids                []model.NodeID
+	partitioned        func(a, b *node) bool
+	seeds              []string // given to every node; nil for the defaults of start
+	seedsByZone        bool     // nodes learn which seeds are of their own zone
+	cfg                Config   // of nodes started after it is set
+	drop, dup, reorder float64
+	bytes, messages    int
+	crossZoneBytes     int             // bytes sent to other zones
+	encodedMessage     message.Message // message encoded last
+	encodedSize        int             // its encoded size in bytes
+	decodedMessage     message.Message // the decoded copy that peers receive
 }
 
+// node is a simulated host. Its core is replaced at each start.
 type node struct {
-	id       model.NodeID
-	rec      endpoint.Record
-	core     *Core
-	run      int // number of starts; events of earlier ones are void
-	up       bool
-	paused   bool
-	conns    map[model.NodeID]bool
-	backlog  []core.Event
-	in, out  int
-	conflict bool
+	id                model.NodeID
+	rec               endpoint.Record
+	core              *Core
+	generation        int // number of starts; events of earlier ones are discarded
+	up                bool
+	paused            bool
+	conns             map[model.NodeID]bool
+	backlog           []core.Event
+	bytesIn, bytesOut int
+	conflict          bool
 }
 
+// task is an action scheduled in virtual time; order is its sequence number.
 type task struct {
 	at    time.Time
 	order uint64
 	do    func()
 }
 
-// newNetwork returns zones of per running nodes each. Every node knows three
-// seeds: the first node of its zone, of the first zone, and itself.
-func newNetwork(t must.T, zones, per int, seed uint64) *network {
+// newNetwork returns a network of perZone nodes in each of the zones, which start within
+// the first second. By default each node has three seeds: the first node of its zone, the
+// first node of the first zone, and itself.
+func newNetwork(t must.T, zones, perZone int, seed uint64) *network {
 	n := &network{
 		t: t, now: time.Unix(1_800_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)),
-		nodes: map[model.NodeID]*node{}, cut: func(_, _ *node) bool { return false },
+		nodes: map[model.NodeID]*node{}, partitioned: func(_, _ *node) bool { return false },
 		cfg: DefaultConfig(),
 	}
 	for z := range zones {
-		for i := range per {
+		for i := range perZone {
 			r := record(z, i)
 			n.nodes[r.Node] = &node{id: r.Node, rec: r}
 			n.ids = append(n.ids, r.Node)
@@ -103,7 +107,7 @@
 
 func (n *network) start(id model.NodeID) {
 	x := n.nodes[id]
-	x.run++
+	x.generation++
 	x.rec.Incarnation++
 	x.up, x.paused, x.conns, x.backlog = true, false, map[model.NodeID]bool{}, nil
 	zone := n.ids[slices.IndexFunc(n.ids, func(o model.NodeID) bool { return n.nodes[o].rec.Zone == x.rec.Zone })]
@@ -115,10 +119,10 @@
 	if n.seedsByZone {
 		n.step(x, n.splitSeeds(x, seeds))
 	}
-	run := x.run
+	run := x.generation
 	var tick func()
 	tick = func() {
-		if x.run == run && x.up {
+		if x.generation == run && x.up {
 			n.step(x, core.Tick{})
 			n.after(100*time.Millisecond, tick)
 		}
@@ -143,7 +147,8 @@
 
 func (n *network) crash(id model.NodeID) { n.nodes[id].up = false }
 
-func (n *network) thaw(id model.NodeID) {
+// resume ends a node's pause and delivers the events received during it.
+func (n *network) resume(id model.NodeID) {
 	x := n.nodes[id]
 	x.paused = false
 	for _, ev := range x.backlog {
@@ -182,9 +187,9 @@
 }
 
 func (n *network) send(x *node, a core.Send) {
-	n.wire(a.Message)
-	size, m := n.size, n.decoded
-	x.out += size
+	n.roundTrip(a.Message)
+	size, m := n.encodedSize, n.decodedMessage
+	x.bytesOut += size
 	n.bytes += size
 	n.messages++
 	if n.nodes[a.To].rec.Zone != x.rec.Zone {
@@ -198,37 +203,37 @@
 		copies++
 	}
 	for range copies {
-		if n.rng.Float64() < n.jumble {
+		if n.rng.Float64() < n.reorder {
 			delay += time.Duration(n.rng.Int64N(int64(300 * time.Millisecond)))
 		}
 		n.after(delay, func() { n.deliver(x, n.nodes[a.To], m, size) })
 	}
 }
 
-// wire encodes and decodes a message, once for all peers that it is sent to.
-func (n *network) wire(m message.Message) {
-	if n.wired == m {
+// roundTrip encodes and decodes a message, once for all peers that it is sent to.
+func (n *network) roundTrip(m message.Message) {
+	if n.encodedMessage == m {
 		return
 	}
 	b, err := message.Encode(m)
 	if err != nil || len(b) >= 32<<10 {
 		n.t.Fatalf("message of %d bytes: %v", len(b), err)
 	}
-	n.wired, n.size = m, len(b)
-	if n.decoded, err = message.Decode(b); err != nil {
+	n.encodedMessage, n.encodedSize = m, len(b)
+	if n.decodedMessage, err = message.Decode(b); err != nil {
 		n.t.Fatalf("decode: %v", err)
 	}
 }
 
 func (n *network) deliver(from, to *node, m message.Message, size int) {
-	if !to.up || n.cut(from, to) {
+	if !to.up || n.partitioned(from, to) {
 		return
 	}
 	if !to.paused && !to.conns[from.id] {
 		n.after(n.latency(), func() { n.reset(from, to) })
 		return
 	}
-	to.in += size
+	to.bytesIn += size
 	n.step(to, core.Received{From: from.id, Message: m})
 }
 
@@ -239,16 +244,16 @@
 }
 
 func (n *network) connect(x *node, a core.Connect) {
-	run := x.run
+	run := x.generation
 	i := slices.IndexFunc(n.ids, func(id model.NodeID) bool { return n.nodes[id].rec.PeerAddr == a.Addr })
 	to := n.nodes[n.ids[i]]
 	n.after(n.latency(), func() {
-		if x.run != run {
+		if x.generation != run {
 			return
 		}
 		failed := core.DialFailed(a)
 		switch {
-		case n.cut(x, to) || to.paused || x.paused:
+		case n.partitioned(x, to) || to.paused || x.paused:
 			n.after(3*time.Second, func() { n.step(x, failed) })
 		case !to.up:
 			n.step(x, failed)
@@ -268,7 +273,7 @@
 		if x.conns[id] {
 			n.step(x, core.PeerDown{Node: id})
 		}
-		if to.up && to.conns[x.id] && !n.cut(x, to) {
+		if to.up && to.conns[x.id] && !n.partitioned(x, to) {
 			n.step(to, core.PeerDown{Node: x.id})
 		}
 	})
@@ -285,9 +290,9 @@
 	n.now = end
 }
 
-// until runs until every running node satisfies ok, and returns how long that
-// took. It fails the test after limit.
-func (n *network) until(what string, limit time.Duration, ok func(*node) bool) time.Duration {
+// runUntil runs the network until every running node satisfies ok, and returns how long
+// that took. It fails the test if that takes longer than limit.
+func (n *network) runUntil(what string, limit time.Duration, ok func(*node) bool) time.Duration {
 	n.t.Helper()
 	start := n.now
 	for n.now.Sub(start) <= limit {
@@ -298,7 +303,7 @@
 	}
 	for _, id := range n.ids {
 		if x := n.nodes[id]; x.up && !x.paused && !ok(x) {
-			n.t.Fatalf("%s: not on %s after %v", what, id, limit)
+			n.t.Fatalf("%s: condition not met on %s after %v", what, id, limit)
 		}
 	}
 	return limit
@@ -306,14 +311,14 @@
 
 func (n *network) all(ok func(*node) bool) bool {
 	for _, id := range n.ids {
-		if x := n.nodes[id]; (x.up && !x.paused || x.run == 0) && (x.run == 0 || !ok(x)) {
+		if x := n.nodes[id]; (x.up && !x.paused || x.generation == 0) && (x.generation == 0 || !ok(x)) {
 			return false
 		}
 	}
 	return true
 }
 
-// agreed reports whether x holds each node as it really is.
+// agreed reports whether x's table matches the actual state of every node.
 func (n *network) agreed(x *node) bool {
 	for _, id := range n.ids {
 		r, held := x.core.Table().Get(id)
@@ -325,7 +330,8 @@
 	return true
 }
 
-func holds(id model.NodeID, s endpoint.Status) func(*node) bool {
+// hasStatus returns a condition that holds for nodes whose table has id with status s.
+func hasStatus(id model.NodeID, s endpoint.Status) func(*node) bool {
 	return func(x *node) bool {
 		r, held := x.core.Table().Get(id)
 		return held && r.Status == s
@@ -335,12 +341,12 @@
 func (n *network) resetCounts() {
 	n.bytes, n.messages, n.crossZoneBytes = 0, 0, 0
 	for x := range maps.Values(n.nodes) {
-		x.in, x.out = 0, 0
+		x.bytesIn, x.bytesOut = 0, 0
 	}
 }
 
-// connected reports whether the links of running nodes, without one of them,
-// join all of them.
+// connected reports whether the nodes' links connect all running nodes when one node is
+// removed.
 func (n *network) connected(without model.NodeID) bool {
 	first := n.ids[0]
 	if first == without {
--- a/coordination/member/overlay.go
+++ b/coordination/member/overlay.go
@@ -12,36 +12,36 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// overlay is the set of links that the node should have. All of it follows
-// from the table.
+// overlay is the set of links that the node should have, derived entirely from the table.
 type overlay struct {
-	dirty   map[model.Zone]bool // zones whose members changed
-	ring    []member            // live members of the own zone in order of key
-	live    []model.NodeID      // the same, for the driver
+	dirty   map[model.Zone]bool // zones with changed members
+	ring    []ringPosition      // live members of the own zone, sorted by key
+	live    []model.NodeID      // IDs of ring, for the driver
 	gateway bool
-	// wanted are the peers to be linked to. The value tells whether this
-	// node is the one that dials.
+	// wanted holds the peers to be linked to. The value is true if this node is the one
+	// that dials.
 	wanted map[model.NodeID]bool
-	// order holds the keys of wanted, sorted.
-	order []model.NodeID
-	// gateways are the gateways of each zone with live members.
+	// wantedIDs holds the keys of wanted, sorted.
+	wantedIDs []model.NodeID
+	// gateways holds the gateways of each zone that has live members.
 	gateways map[model.Zone][]candidate
-	// zones are the keys of gateways without the own zone, sorted.
-	zones []model.Zone
+	// otherZones holds the keys of gateways except the own zone, sorted.
+	otherZones []model.Zone
 }
 
-// member is a place on the ring.
-type member struct {
+// ringPosition is a position on the hash ring of a zone's members. The id is empty for a
+// position that is not a member's.
+type ringPosition struct {
 	key model.NodeKey
 	id  model.NodeID
 }
 
-func compareMembers(a, b member) int {
+func comparePositions(a, b ringPosition) int {
 	return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.id, b.id))
 }
 
-// refreshOverlay works out ring, gateways and wanted links from the table, as
-// far as its zones have changed.
+// refreshOverlay recomputes the gateways of the dirty zones, the ring if the own zone is
+// dirty, and then the wanted links. Without dirty zones it does nothing.
 func (c *Core) refreshOverlay() {
 	o := &c.overlay
 	if len(o.dirty) == 0 {
@@ -61,17 +61,17 @@
 	c.setWanted()
 }
 
-// liveRing returns the live members of the own zone in order of key.
-func (c *Core) liveRing() []member {
-	ring := make([]member, 0, len(c.overlay.ring)+1)
+// liveRing returns the live members of the own zone, sorted by key.
+func (c *Core) liveRing() []ringPosition {
+	ring := make([]ringPosition, 0, len(c.overlay.ring)+1)
 	c.table.EachLive(c.self.Zone, func(r *endpoint.Record, k model.NodeKey) bool {
-		ring = append(ring, member{key: k, id: r.Node})
+		ring = append(ring, ringPosition{key: k, id: r.Node})
 		return true
 	})
 	return ring
 }
 
-func (c *Core) setRing(ring []member) {
+func (c *Core) setRing(ring []ringPosition) {
 	if slices.Equal(ring, c.overlay.ring) {
 		return
 	}
@@ -80,7 +80,7 @@
 	for i, m := range ring {
 		c.overlay.live[i] = m.id
 	}
-	c.act(MembersChanged{Live: c.overlay.live})
+	c.emit(MembersChanged{Live: c.overlay.live})
 }
 
 func (c *Core) setGateway(gateway bool) {
@@ -88,22 +88,22 @@
 		return
 	}
 	c.overlay.gateway = gateway
-	c.act(GatewayChanged{Gateway: gateway})
+	c.emit(GatewayChanged{Gateway: gateway})
 }
 
-// setWanted lists the links that this node wants.
+// setWanted recomputes which links this node wants.
 func (c *Core) setWanted() {
 	o := &c.overlay
 	clear(o.wanted)
-	for _, id := range c.ringLinks(member{c.self.Node.Key(), c.self.Node}) {
+	for _, id := range c.ringLinks(ringPosition{c.self.Node.Key(), c.self.Node}) {
 		o.wanted[id] = true
 	}
-	o.zones = o.zones[:0]
+	o.otherZones = o.otherZones[:0]
 	for zone, gateways := range o.gateways {
 		if zone == c.self.Zone {
 			continue
 		}
-		o.zones = append(o.zones, zone)
+		o.otherZones = append(o.otherZones, zone)
 		if !o.gateway {
 			continue
 		}
@@ -111,23 +111,23 @@
 			o.wanted[gw.id] = c.self.Node.Key() < gw.key
 		}
 	}
-	slices.Sort(o.zones)
-	o.order = slices.AppendSeq(o.order[:0], maps.Keys(o.wanted))
-	slices.Sort(o.order)
-	c.dialer.forget(o.wanted)
+	slices.Sort(o.otherZones)
+	o.wantedIDs = slices.AppendSeq(o.wantedIDs[:0], maps.Keys(o.wanted))
+	slices.Sort(o.wantedIDs)
+	c.dialer.prune(o.wanted)
 	for _, l := range c.links {
-		l.kept = c.keeps(l)
+		l.wanted = c.isWanted(l)
 	}
 }
 
-// ringLinks returns the peers that a member of the zone dials: its successor
-// and the chords, which start at hashes of its name.
-func (c *Core) ringLinks(m member) []model.NodeID {
+// ringLinks returns the peers that a member of the own zone dials: its successor, and one
+// peer for each chord, whose position is a hash of the member's key.
+func (c *Core) ringLinks(m ringPosition) []model.NodeID {
 	ids := make([]model.NodeID, 0, 1+c.cfg.ChordLinks)
 	for i := range 1 + c.cfg.ChordLinks {
 		from := m
 		if i > 0 {
-			from = member{key: chordStart(m.key, i)}
+			from = ringPosition{key: chordStart(m.key, i)}
 		}
 		id, ok := c.successor(from, m.id, ids)
 		if ok {
@@ -137,7 +137,8 @@
 	return ids
 }
 
-// chordStart is where the i-th chord of a member enters the ring.
+// chordStart returns the ring position from which the i-th chord of a member looks for its
+// peer.
 func chordStart(k model.NodeKey, i int) model.NodeKey {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], uint64(k))
@@ -145,11 +146,11 @@
 	return model.NodeKey(xxhash.Sum64(b[:]))
 }
 
-// successor returns the first member after a place on the ring that is neither
-// self nor taken.
-func (c *Core) successor(from member, self model.NodeID, taken []model.NodeID) (model.NodeID, bool) {
+// successor returns the first member at or after a ring position that is neither self nor
+// taken.
+func (c *Core) successor(from ringPosition, self model.NodeID, taken []model.NodeID) (model.NodeID, bool) {
 	ring := c.overlay.ring
-	i, _ := slices.BinarySearchFunc(ring, from, compareMembers)
+	i, _ := slices.BinarySearchFunc(ring, from, comparePositions)
 	for n := range ring {
 		id := ring[(i+n)%len(ring)].id
 		if id != self && !slices.Contains(taken, id) {
@@ -159,20 +160,20 @@
 	return "", false
 }
 
-// keeps reports whether this node or, by its table, the peer wants the link.
-func (c *Core) keeps(l *link) bool {
+// isWanted reports whether this node or, according to the table, the peer wants the link.
+func (c *Core) isWanted(l *link) bool {
 	if _, wanted := c.overlay.wanted[l.node]; wanted {
 		return true
 	}
 	if l.zone != c.self.Zone {
 		return false
 	}
-	links := c.ringLinks(member{l.node.Key(), l.node})
+	links := c.ringLinks(ringPosition{l.node.Key(), l.node})
 	return slices.Contains(links, c.self.Node)
 }
 
-// closeUnwanted closes links that neither side has wanted for LinkLinger. The
-// last links of all are kept.
+// closeUnwanted closes links that neither side has wanted for LinkLinger. It closes none
+// while the node has no more than ChordLinks links.
 func (c *Core) closeUnwanted() {
 	if len(c.links) <= c.cfg.ChordLinks {
 		return
@@ -180,7 +181,7 @@
 	for _, l := range c.links {
 		switch {
 		case l.closing:
-		case l.kept:
+		case l.wanted:
 			l.closeAt = c.now.Add(c.cfg.LinkLinger)
 		case l.closeAt.IsZero():
 			l.closeAt = c.now.Add(c.cfg.LinkLinger)
--- a/coordination/member/own.go
+++ b/coordination/member/own.go
@@ -5,7 +5,7 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// announce takes over what the backend server says of itself.
+// announce updates the own record from the backend server's announcement.
 func (c *Core) announce(a Announce) {
 	r := c.self
 	r.Service = a.Service
@@ -20,18 +20,18 @@
 		return
 	}
 	c.self = r
-	c.raiseSelf(a.Draining || a.Unready)
+	c.publishSelf(a.Draining || a.Unready)
 }
 
-// raiseSelf gives the own record its next sequence and floods it.
-func (c *Core) raiseSelf(urgent bool) {
+// publishSelf increments the sequence of the own record, stores it and floods it.
+func (c *Core) publishSelf(urgent bool) {
 	c.self.Sequence++
 	c.table.Put(c.self)
 	c.overlay.dirty[c.self.Zone] = true
-	c.spread(c.self.Node, "", urgent)
+	c.queueFlood(c.self.Node, "", urgent)
 }
 
-// leave floods the own record as left.
+// leave floods the own record with the status left.
 func (c *Core) leave() {
 	if c.left {
 		return
@@ -39,7 +39,7 @@
 	c.left = true
 	c.self.Status = endpoint.StatusLeft
 	c.self.Died = c.now.Unix()
-	c.raiseSelf(true)
+	c.publishSelf(true)
 }
 
 // incarnate starts a new incarnation of the own record.
@@ -49,46 +49,47 @@
 	}
 	c.self.Incarnation = incarnation
 	c.self.Sequence = 0
-	c.raiseSelf(false)
+	c.publishSelf(false)
 }
 
-// aboutSelf takes a record in the node's own name. A stale or dead one is
-// answered or refuted; a newer one shows that the identity is in use
-// elsewhere.
-func (c *Core) aboutSelf(from model.NodeID, r endpoint.Record) {
-	theirs := version{r.Incarnation, r.Sequence}
+// mergeSelf handles a received record of this node itself. An older version is corrected,
+// and the current version with a dead or suspect status is refuted. A newer version, or the
+// current one with different content, is reported as an identity conflict.
+func (c *Core) mergeSelf(from model.NodeID, r endpoint.Record) {
+	received := version{r.Incarnation, r.Sequence}
 	switch {
 	case r.Incarnation > c.self.Incarnation,
 		r.Incarnation == c.self.Incarnation && r.Sequence > c.self.Sequence:
-		c.reportConflict(theirs)
+		c.reportConflict(received)
 	case r.Incarnation < c.self.Incarnation || r.Sequence < c.self.Sequence:
-		c.flood.correct(c.self)
-	case !sameContent(r, c.self):
+		c.flood.addCorrection(c.self)
+	case !sameOwnerFields(r, c.self):
 		c.refuse(from, &ConflictError{Incarnation: r.Incarnation, Sequence: r.Sequence})
-		c.reportConflict(theirs)
+		c.reportConflict(received)
 	case r.Status != endpoint.StatusAlive && !c.left:
 		c.stats.Refuted++
-		c.raiseSelf(true)
+		c.publishSelf(true)
 	}
 }
 
-// sameContent compares what only the owner may set.
-func sameContent(a, b endpoint.Record) bool {
+// sameOwnerFields reports whether two records are equal in the fields that only their owner
+// sets; other nodes may set status and time of death.
+func sameOwnerFields(a, b endpoint.Record) bool {
 	a.Status, b.Status = 0, 0
 	a.Died, b.Died = 0, 0
 	return a == b
 }
 
-// reportConflict reports each foreign version of the own record once.
+// reportConflict emits an IdentityConflict, unless the last one was for the same version.
 func (c *Core) reportConflict(v version) {
-	if v == c.claimed || c.left {
+	if v == c.reportedVersion || c.left {
 		return
 	}
-	c.claimed = v
-	c.act(IdentityConflict{Incarnation: v.incarnation})
+	c.reportedVersion = v
+	c.emit(IdentityConflict{Incarnation: v.incarnation})
 }
 
 func (c *Core) refuse(from model.NodeID, err error) {
 	c.stats.Refused++
-	c.act(Refused{From: from, Err: err})
+	c.emit(Refused{From: from, Err: err})
 }
