--- a/coordination/member/antientropy.go
+++ b/coordination/member/antientropy.go
@@ -186,9 +186,9 @@
 	for i := range recs {
 		size += estimateSize(&recs[i])
 	}
-	burst := float64(c.cfg.AnswerBurstBytes)
+	burst := float64(c.cfg.ResponseBurstBytes)
 	if !c.sync.refilledAt.IsZero() {
-		gained := c.now.Sub(c.sync.refilledAt).Seconds() * float64(c.cfg.AnswerBytesPerSecond)
+		gained := c.now.Sub(c.sync.refilledAt).Seconds() * float64(c.cfg.ResponseBytesPerSecond)
 		c.sync.budget = min(burst, c.sync.budget+gained)
 	}
 	c.sync.refilledAt = c.now
--- a/coordination/member/config.go
+++ b/coordination/member/config.go
@@ -26,12 +26,12 @@
 	// SuspicionWindow is the sliding window over which suspicions are capped. A member that
 	// refuted a suspicion of this node is not suspected by it again for the same time.
 	SuspicionWindow time.Duration
-	// MaxSuspectPart is the fraction, 0 to 1, of the zone's live members that may become
+	// MaxSuspectFraction is the fraction, 0 to 1, of the zone's live members that may become
 	// suspect within SuspicionWindow. It prevents a node that is itself cut off from
 	// evicting the others.
-	MaxSuspectPart float64
+	MaxSuspectFraction float64
 	// MinSuspects is the number of suspicions allowed within SuspicionWindow in a zone so
-	// small that MaxSuspectPart would allow fewer.
+	// small that MaxSuspectFraction would allow fewer.
 	MinSuspects int
 	// PauseThreshold is the longest expected gap between two events of a running process.
 	// After a longer gap the process is taken to have been paused, and it suspects nobody
@@ -57,12 +57,12 @@
 	// RequestTimeout is the minimum time between two RecordsRequests for the same zone. It
 	// is also the idle time after which the initial sync of a zone counts as complete.
 	RequestTimeout time.Duration
-	// AnswerBytesPerSecond bounds the responses to RecordsRequests, so that many nodes
+	// ResponseBytesPerSecond bounds the responses to RecordsRequests, so that many nodes
 	// joining at once can't saturate this node's network link.
-	AnswerBytesPerSecond int
-	// AnswerBurstBytes is the burst size of that budget: the bytes of responses that may be
+	ResponseBytesPerSecond int
+	// ResponseBurstBytes is the burst size of that budget: the bytes of responses that may be
 	// sent at once.
-	AnswerBurstBytes int
+	ResponseBurstBytes int
 	// ChordLinks is the number of links besides the one to the successor on the ring.
 	ChordLinks int
 	// MaxPeers is the number of links beyond which a new link is rejected, unless the
@@ -72,9 +72,9 @@
 	GatewaysPerZone int
 	// LinkLinger is how long a link that neither side wants is kept.
 	LinkLinger time.Duration
-	// ZoneSilentAfter is how long a gateway goes without any link to another zone before it
+	// UnlinkedZoneDelay is how long a gateway goes without any link to another zone before it
 	// dials random members of that zone instead of only its gateways.
-	ZoneSilentAfter time.Duration
+	UnlinkedZoneDelay time.Duration
 	// BackoffMin is the delay after the first failed connection attempt. It doubles with
 	// each further failure, up to BackoffMax.
 	BackoffMin time.Duration
@@ -103,34 +103,34 @@
 // DefaultConfig returns the parameters for the fleet size that the project is designed for.
 func DefaultConfig() Config {
 	return Config{
-		HeartbeatInterval:    2 * time.Second,
-		SuspectAfter:         4500 * time.Millisecond,
-		SuspicionTimeout:     2 * time.Second,
-		SuspicionWindow:      30 * time.Second,
-		MaxSuspectPart:       0.25,
-		MinSuspects:          2,
-		PauseThreshold:       2 * time.Second,
-		TombstoneTTL:         24 * time.Hour,
-		BatchDelay:           20 * time.Millisecond,
-		MaxMessageBytes:      24 << 10,
-		DigestInterval:       10 * time.Second,
-		MaxRelayTableSize:    128,
-		RelayCompareDelay:    300 * time.Millisecond,
-		RequestTimeout:       2 * time.Second,
-		AnswerBytesPerSecond: 256 << 10,
-		AnswerBurstBytes:     1 << 20,
-		ChordLinks:           2,
-		MaxPeers:             32,
-		GatewaysPerZone:      2,
-		LinkLinger:           15 * time.Second,
-		ZoneSilentAfter:      10 * time.Second,
-		BackoffMin:           200 * time.Millisecond,
-		BackoffMax:           10 * time.Second,
-		ConnectTimeout:       10 * time.Second,
-		ConnectsPerSecond:    4,
-		ConnectBurst:         8,
-		RejoinInterval:       10 * time.Second,
-		RejoinMin:            80 * time.Millisecond,
-		MaxRecords:           16 << 10,
+		HeartbeatInterval:      2 * time.Second,
+		SuspectAfter:           4500 * time.Millisecond,
+		SuspicionTimeout:       2 * time.Second,
+		SuspicionWindow:        30 * time.Second,
+		MaxSuspectFraction:     0.25,
+		MinSuspects:            2,
+		PauseThreshold:         2 * time.Second,
+		TombstoneTTL:           24 * time.Hour,
+		BatchDelay:             20 * time.Millisecond,
+		MaxMessageBytes:        24 << 10,
+		DigestInterval:         10 * time.Second,
+		MaxRelayTableSize:      128,
+		RelayCompareDelay:      300 * time.Millisecond,
+		RequestTimeout:         2 * time.Second,
+		ResponseBytesPerSecond: 256 << 10,
+		ResponseBurstBytes:     1 << 20,
+		ChordLinks:             2,
+		MaxPeers:               32,
+		GatewaysPerZone:        2,
+		LinkLinger:             15 * time.Second,
+		UnlinkedZoneDelay:      10 * time.Second,
+		BackoffMin:             200 * time.Millisecond,
+		BackoffMax:             10 * time.Second,
+		ConnectTimeout:         10 * time.Second,
+		ConnectsPerSecond:      4,
+		ConnectBurst:           8,
+		RejoinInterval:         10 * time.Second,
+		RejoinMin:              80 * time.Millisecond,
+		MaxRecords:             16 << 10,
 	}
 }
--- a/coordination/member/core.go
+++ b/coordination/member/core.go
@@ -52,7 +52,7 @@
 	}
 	c.flood.pending = make(map[model.NodeID]*change)
 	c.sync.zones = make(map[model.Zone]*zoneSync)
-	c.sync.budget = float64(cfg.AnswerBurstBytes)
+	c.sync.budget = float64(cfg.ResponseBurstBytes)
 	c.detector.suspicions = make(map[model.NodeID]suspicion)
 	c.detector.trustedUntil = make(map[model.NodeID]time.Time)
 	c.dialer.targets = make(map[model.NodeID]*target)
@@ -95,7 +95,7 @@
 	case Leave:
 		c.leave()
 	case SeedsLearned:
-		c.setSeeds(ev.Addrs, ev.Far)
+		c.setSeeds(ev.Addrs, ev.OtherZoneAddrs)
 	case Incarnate:
 		c.incarnate(ev.Incarnation)
 	}
--- a/coordination/member/core_test.go
+++ b/coordination/member/core_test.go
@@ -66,7 +66,7 @@
 	c, now := coreWithLinks(27)
 	now = tickFor(c, now, 6*time.Second, 1)
 	must.Eq(t, 7, c.Stats().Suspected, must.Sprint("a quarter of 28"))
-	must.Positive(t, c.Stats().Withheld)
+	must.Positive(t, c.Stats().SuspicionsSuppressed)
 	must.Eq(t, 28, len(c.Live()))
 	tickFor(c, now, 4*time.Second, 1)
 	must.Eq(t, 21, len(c.Live()))
--- a/coordination/member/detector.go
+++ b/coordination/member/detector.go
@@ -80,7 +80,7 @@
 		return
 	}
 	if !c.belowSuspicionCap() {
-		c.stats.Withheld++
+		c.stats.SuspicionsSuppressed++
 		return
 	}
 	c.stats.Suspected++
@@ -96,7 +96,7 @@
 // that receives nothing from any peer is probably cut off itself: its suspicions count
 // against the cap, regardless of SuspicionWindow, until it receives a message again.
 func (c *Core) belowSuspicionCap() bool {
-	limit := int(float64(len(c.overlay.live)) * c.cfg.MaxSuspectPart)
+	limit := int(float64(len(c.overlay.live)) * c.cfg.MaxSuspectFraction)
 	limit = max(limit, c.cfg.MinSuspects)
 	if c.isolated(c.cfg.SuspectAfter) && c.detector.isolatedSuspicions >= limit {
 		return false
--- a/coordination/member/event.go
+++ b/coordination/member/event.go
@@ -37,8 +37,8 @@
 type SeedsLearned struct {
 	// Addrs are the seeds of the own zone and those whose zone is unknown.
 	Addrs []string
-	// Far are the seeds of other zones.
-	Far []string
+	// OtherZoneAddrs are the seeds of other zones.
+	OtherZoneAddrs []string
 }
 
 // Incarnate resolves an IdentityConflict by a higher incarnation of the own record.
@@ -141,15 +141,15 @@
 	Refused uint64
 	// Suspected counts suspicions raised by this node.
 	Suspected uint64
-	// Withheld counts suspicions that were not raised because of the cap.
-	Withheld uint64
+	// SuspicionsSuppressed counts suspicions that were not raised because of the cap.
+	SuspicionsSuppressed uint64
 	// Failed counts members that this node marked as failed.
 	Failed uint64
 	// Refuted counts how often this node refuted a record that marked it as suspect or
 	// dead.
 	Refuted uint64
-	// TurnedAway counts peers rejected because of Config.MaxPeers.
-	TurnedAway uint64
+	// PeersRejected counts peers rejected because of Config.MaxPeers.
+	PeersRejected uint64
 	// Deferred counts RecordsRequests left unanswered because the response budget was
 	// exhausted.
 	Deferred uint64
--- a/coordination/member/joining.go
+++ b/coordination/member/joining.go
@@ -143,7 +143,7 @@
 }
 
 // dialUnlinkedZones lets a gateway dial any member of a zone to which it has had no link
-// for ZoneSilentAfter: all gateways of that zone according to the table may be gone.
+// for UnlinkedZoneDelay: all gateways of that zone according to the table may be gone.
 func (c *Core) dialUnlinkedZones() {
 	j := &c.joining
 	if !c.overlay.gateway {
@@ -159,9 +159,9 @@
 		case c.linkedTo(zone):
 			delete(j.zoneDialAt, zone)
 		case !scheduled:
-			j.zoneDialAt[zone] = c.now.Add(c.cfg.ZoneSilentAfter)
+			j.zoneDialAt[zone] = c.now.Add(c.cfg.UnlinkedZoneDelay)
 		case !c.now.Before(due) && c.takeDialToken():
-			j.zoneDialAt[zone] = c.now.Add(c.cfg.ZoneSilentAfter/2 + c.jitter(c.cfg.ZoneSilentAfter))
+			j.zoneDialAt[zone] = c.now.Add(c.cfg.UnlinkedZoneDelay/2 + c.jitter(c.cfg.UnlinkedZoneDelay))
 			c.dialMemberOf(zone)
 		}
 	}
--- a/coordination/member/links.go
+++ b/coordination/member/links.go
@@ -76,7 +76,7 @@
 	if len(c.links) <= c.cfg.MaxPeers || l.wanted {
 		return false
 	}
-	c.stats.TurnedAway++
+	c.stats.PeersRejected++
 	var recs []endpoint.Record
 	for range min(referralSize, len(c.overlay.live)) {
 		r, held := c.table.Get(c.overlay.live[c.rng.IntN(len(c.overlay.live))])
@@ -104,9 +104,9 @@
 	c.emit(core.Disconnect{Node: l.node})
 }
 
-// Sent records that another core of this node sends a message to a peer. Any message proves
+// MarkSent records that another core of this node sends a message to a peer. Any message proves
 // the link alive, so the next heartbeat is postponed.
-func (c *Core) Sent(now time.Time, to model.NodeID) {
+func (c *Core) MarkSent(now time.Time, to model.NodeID) {
 	if l := c.link(to); l != nil {
 		l.lastSent = now
 	}
--- a/coordination/member/member_test.go
+++ b/coordination/member/member_test.go
@@ -252,7 +252,7 @@
 	n.partitioned = func(a, b *node) bool { return a == isolated || b == isolated }
 	n.runFor(5 * time.Minute)
 	must.LessEq(t, 6, isolated.core.Stats().Suspected)
-	must.Positive(t, isolated.core.Stats().Withheld)
+	must.Positive(t, isolated.core.Stats().SuspicionsSuppressed)
 	n.partitioned = func(_, _ *node) bool { return false }
 	n.runUntil("convergence after the partition", time.Minute, n.agreed)
 }
@@ -343,7 +343,7 @@
 			}
 		}
 	}
-	must.Eq(t, rejected, int(c.Stats().TurnedAway))
+	must.Eq(t, rejected, int(c.Stats().PeersRejected))
 	must.Between(t, 32, len(c.Neighbours()), 40)
 	must.Eq(t, 201, c.Table().Len(), must.Sprint("their records are kept"))
 }
--- a/coordination/member/network_test.go
+++ b/coordination/member/network_test.go
@@ -139,7 +139,7 @@
 		case r.Zone == x.rec.Zone:
 			learned.Addrs = append(learned.Addrs, r.PeerAddr)
 		default:
-			learned.Far = append(learned.Far, r.PeerAddr)
+			learned.OtherZoneAddrs = append(learned.OtherZoneAddrs, r.PeerAddr)
 		}
 	}
 	return learned
--- a/coordination/member/sent_test.go
+++ b/coordination/member/sent_test.go
@@ -16,14 +16,14 @@
 func heartbeats(to model.NodeID, otherInterval time.Duration) int {
 	c, now := coreWithLinks(2)
 	if otherInterval > 0 {
-		c.Sent(now, to)
+		c.MarkSent(now, to)
 	}
 	count := 0
 	for i := 1; i <= 200; i++ {
 		now = now.Add(100 * time.Millisecond)
 		elapsed := time.Duration(i) * 100 * time.Millisecond
 		if otherInterval > 0 && elapsed%otherInterval == 0 {
-			c.Sent(now, to)
+			c.MarkSent(now, to)
 		}
 		c.Step(now, core.Received{From: record(0, 1).Node, Message: &message.Beacon{}})
 		c.Step(now, core.Received{From: record(0, 2).Node, Message: &message.Beacon{}})
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -130,7 +130,7 @@
 	cfg.SuspectAfter = 2500 * time.Millisecond
 	cfg.ConnectTimeout = 2 * time.Second
 	cfg.BackoffMax = 2 * time.Second
-	cfg.ZoneSilentAfter = 2 * time.Second
+	cfg.UnlinkedZoneDelay = 2 * time.Second
 	cfg.RejoinInterval = 3 * time.Second
 	cfg.ConnectsPerSecond = 10
 	cfg.ConnectBurst = 20
--- a/internal/sidecar/discover.go
+++ b/internal/sidecar/discover.go
@@ -130,7 +130,7 @@
 	slices.Sort(near)
 	slices.Sort(far)
 	_ = level.Info(n.log).Log("event", "nodes_read", "nodes", len(nodes.Seeds), "own_zone", d.listed, "registered", d.registered)
-	n.loop.queue.Post(ctx, member.SeedsLearned{Addrs: near, Far: far})
+	n.loop.queue.Post(ctx, member.SeedsLearned{Addrs: near, OtherZoneAddrs: far})
 	if len(near) == 0 {
 		n.loop.queue.Post(ctx, docsync.FirstInZone{})
 	}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -126,7 +126,7 @@
 func (l *loop) do(now time.Time, a core.Action) {
 	switch a := a.(type) {
 	case core.Send:
-		l.member.Sent(now, a.To)
+		l.member.MarkSent(now, a.To)
 		if err := l.links.Send(a.To, a.Priority, a.Message); err != nil {
 			_ = level.Error(l.log).Log("event", "message_not_sent", "to", a.To, "kind", a.Message.Kind(), "err", err)
 		}
