--- a/transport/crash/crash.go
+++ b/transport/crash/crash.go
@@ -1,6 +1,6 @@
-// Package crash sees, from the gate in front of a backend server, when that server
-// crashes and which requests were under way, and keeps requests that do it from
-// reaching it.
+// Package crash detects, at the gate in front of a backend server, that this server has
+// crashed, and which requests were in flight at that time. The gate also uses it to
+// recognise quarantined requests, which it must not send.
 package crash
 
 import (
@@ -21,33 +21,35 @@
 )
 
 const (
-	// probeDelay is how long after a run broke off the traffic has to tell whether the
-	// backend server is still there, before it is looked at. A request every 20 ms is
-	// less than the users' backend servers get, so that few looks are made.
+	// probeDelay is the time between a run that lost its connection and the probe of the
+	// backend server. A request within this time shows whether the backend server still
+	// runs, and makes the probe unnecessary. The users' backend servers get more than one
+	// request every 20 ms, so few probes are made.
 	probeDelay = 20 * time.Millisecond
-	// probeInterval is the least time after a look that has found the backend server:
-	// those that reset connections when they are full break off many runs, and each look
-	// is one more connection.
+	// probeInterval is the minimum time from a successful probe to the next one. A backend
+	// server that resets connections when it is full ends many runs in this way, and each
+	// probe is a further connection to it.
 	probeInterval = time.Second
-	// probeTimeout bounds that look; opening a connection takes some milliseconds.
+	// probeTimeout is the timeout of a probe. Opening a connection takes a few
+	// milliseconds.
 	probeTimeout = 200 * time.Millisecond
 )
 
 // Config configures an Observer.
 type Config struct {
-	// Suspects returns the requests that are suspected to crash backend servers. It is
-	// one atomic load. Nil suspects none.
+	// Suspects returns the requests that are suspected to crash backend servers; nil if
+	// there are none. It is one atomic load. A nil function suspects none.
 	Suspects func() *suspect.View
-	// Crashed is told when the backend server has ended without a goodbye, and which
-	// requests were under way; Succeeded when a suspected request has succeeded. Nil
-	// tells nobody.
+	// Crashed is called with the requests that were in flight when the backend server ended
+	// without a goodbye. Succeeded is called when a suspected request has succeeded. Either
+	// may be nil.
 	Crashed   func(suspect.Crash, []suspect.Fingerprint)
 	Succeeded func(suspect.Fingerprint)
 	// Reach opens a connection to the backend server and closes it again.
 	Reach func(ctx context.Context, addr string) error
-	// Gone is told when the backend server refuses connections.
+	// Gone is called when a probe finds that the backend server refuses connections.
 	Gone func(instance string)
-	// Leaving reports whether a start of the backend server has said goodbye.
+	// Leaving reports whether an instance of the backend server has sent its goodbye.
 	Leaving func(instance string) bool
 	// Crashes counts the crashes.
 	Crashes *metrics.Counter
@@ -57,26 +59,26 @@
 	Now func() time.Time
 }
 
-// Run is one request at the backend server.
+// Run is one execution of a request by the backend server.
 type Run struct {
-	// Instance identifies the start of the backend server, and Addr is its address.
+	// Instance identifies the instance of the backend server, and Addr is its address.
 	Instance, Addr string
-	// Fingerprint is that of what the request asks for; 0 where the entry node
-	// tells none.
+	// Fingerprint identifies what the request asks for; 0 if the entry node sent no
+	// fingerprint.
 	Fingerprint suspect.Fingerprint
 	// Sent is when the request was sent.
 	Sent time.Time
 }
 
-// Observer follows the runs of one host's backend server. It is safe for concurrent
-// use.
+// Observer records how the runs of one host's backend server end and detects its crashes.
+// It is safe for concurrent use.
 type Observer struct {
 	cfg   Config
 	watch quarantine.Watch
-	// probing is set while a look at the backend server is due, and foundAt is when the
-	// last one has found it, in nanoseconds of Unix time.
-	probing atomic.Bool
-	foundAt atomic.Int64
+	// probing is set while a probe is scheduled. reachedAt is the start of the last
+	// successful probe, in nanoseconds of Unix time.
+	probing   atomic.Bool
+	reachedAt atomic.Int64
 }
 
 // New returns an observer.
@@ -93,9 +95,10 @@
 	return &Observer{cfg: cfg}
 }
 
-// Fingerprint returns what a request of an entry node asks for. Of one without a body
-// the head tells it, which spares the header its 15 bytes between zones; 0 where an
-// older node sends a body and no header. The error is a *suspect.FingerprintError.
+// Fingerprint returns the fingerprint of what an entry node's request asks for. For a
+// request without a body it is computed from the head, which saves the 15 bytes of the
+// header between availability zones. It is 0 for a request with a body of an older node,
+// which sends no header. The error is a *suspect.FingerprintError.
 func Fingerprint(req *http.Request) (suspect.Fingerprint, error) {
 	v := req.Header[outcome.HeaderFingerprint]
 	switch {
@@ -107,15 +110,15 @@
 	return 0, nil
 }
 
-// Quarantined reports whether a request is not to be sent.
+// Quarantined reports whether requests with a fingerprint must not be sent.
 func (o *Observer) Quarantined(f suspect.Fingerprint) bool {
 	return o.cfg.Suspects().Quarantined(f)
 }
 
-// Alive notes that the backend server has answered without running the request.
+// Alive records that the backend server has responded without running the request.
 func (o *Observer) Alive(r Run) { o.watch.Alive(r.Sent, r.Instance) }
 
-// Answered notes a whole answer.
+// Answered records a complete response with its status.
 func (o *Observer) Answered(r Run, status int) {
 	o.Alive(r)
 	if isSuccess(status) && o.cfg.Suspects().Suspected(r.Fingerprint) {
@@ -123,42 +126,43 @@
 	}
 }
 
-// isSuccess reports whether a status says that the request was run and done. Other
-// answers may come before the run.
+// isSuccess reports whether a status shows that the request was run to its end. A backend
+// server may send any other status before it runs the request.
 func isSuccess(status int) bool {
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// Left notes a run that its caller or this node has given up.
+// Left records a run that its caller or this node abandoned.
 func (o *Observer) Left(r Run) {
 	o.watch.RecordUnanswered(o.cfg.Now(), r.Instance, r.Fingerprint, quarantine.Abandoned)
 }
 
-// Broken notes a run that the backend server broke off.
+// Broken records a run whose connection the backend server closed. Unless the run belongs
+// to a crash already detected, it schedules a probe.
 func (o *Observer) Broken(r Run) {
 	crash, known := o.watch.RecordUnanswered(o.cfg.Now(), r.Instance, r.Fingerprint, quarantine.ConnectionLost)
 	switch {
 	case known:
 		o.report(r.Instance, crash, []suspect.Fingerprint{r.Fingerprint})
 	case o.probing.CompareAndSwap(false, true):
-		next := time.Unix(0, o.foundAt.Load()).Add(probeInterval)
+		next := time.Unix(0, o.reachedAt.Load()).Add(probeInterval)
 		time.AfterFunc(max(probeDelay, next.Sub(o.cfg.Now())), func() { o.probe(r) })
 	}
 }
 
-// Restarted notes that another start of the backend server runs than the one that is
-// named, which has said no goodbye.
+// Restarted records that a new instance of the backend server runs although the given
+// instance has sent no goodbye.
 func (o *Observer) Restarted(instance string) { o.ended(instance) }
 
-// Unsent notes a request for which no connection could be used.
+// Unsent records a request that was not sent because no connection could be opened or used.
 func (o *Observer) Unsent(r Run, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		o.ended(r.Instance)
 	}
 }
 
-// probe looks whether the backend server still accepts connections, where runs broke
-// off and nothing else has told since.
+// probe checks whether the backend server still accepts connections, if runs have lost
+// their connections and nothing since has shown whether it crashed.
 func (o *Observer) probe(r Run) {
 	o.probing.Store(false)
 	if !o.watch.Unexplained(r.Instance) {
@@ -169,7 +173,7 @@
 	began := o.cfg.Now()
 	switch err := o.cfg.Reach(ctx, r.Addr); {
 	case err == nil:
-		o.foundAt.Store(began.UnixNano())
+		o.reachedAt.Store(began.UnixNano())
 		o.watch.Alive(began, r.Instance)
 	case errors.Is(err, syscall.ECONNREFUSED):
 		o.ended(r.Instance)
@@ -179,7 +183,8 @@
 	}
 }
 
-// ended takes the evidence where the backend server is gone.
+// ended reports a crash if runs of the instance have ended without a response shortly
+// before. The instance no longer runs.
 func (o *Observer) ended(instance string) {
 	crash, fingerprints := o.watch.Ended(o.cfg.Now(), instance)
 	if len(fingerprints) > 0 {
@@ -187,8 +192,8 @@
 	}
 }
 
-// report tells of a crash. A backend server that has said goodbye ends with runs under
-// way that are not to blame.
+// report counts, logs and reports a crash. An instance that has sent its goodbye is exempt:
+// the runs that are in flight when it stops didn't cause its end.
 func (o *Observer) report(instance string, crash suspect.Crash, fingerprints []suspect.Fingerprint) {
 	if o.cfg.Leaving(instance) {
 		return
--- a/transport/crash/crash_test.go
+++ b/transport/crash/crash_test.go
@@ -20,11 +20,11 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// scene is an observer and what it tells.
-type scene struct {
+// fixture is an observer that records the calls of its callbacks.
+type fixture struct {
 	*Observer
-	reach     error
-	looks     int
+	reachErr  error
+	probes    int
 	gone      int
 	leaving   bool
 	view      *suspect.View
@@ -33,8 +33,9 @@
 	succeeded []suspect.Fingerprint
 }
 
-func newScene() *scene {
-	s := new(scene)
+// newFixture returns a fixture whose probes return reachErr.
+func newFixture() *fixture {
+	s := new(fixture)
 	s.Observer = New(Config{
 		Suspects: func() *suspect.View { return s.view },
 		Crashed: func(c suspect.Crash, f []suspect.Fingerprint) {
@@ -42,8 +43,8 @@
 		},
 		Succeeded: func(f suspect.Fingerprint) { s.succeeded = append(s.succeeded, f) },
 		Reach: func(context.Context, string) error {
-			s.looks++
-			return s.reach
+			s.probes++
+			return s.reachErr
 		},
 		Gone:    func(string) { s.gone++ },
 		Leaving: func(string) bool { return s.leaving },
@@ -54,17 +55,19 @@
 	return s
 }
 
+// run returns a run of the instance "a" that was sent now.
 func run(f suspect.Fingerprint) Run {
 	return Run{Instance: "a", Addr: "127.0.0.1:1", Fingerprint: f, Sent: time.Now()}
 }
 
 var errRefused = &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 
-// Three runs break off together, and nothing else comes that would tell.
+// Three runs lose their connections at the same time, and no other request follows that
+// would reveal the crash. The probe must.
 func TestBackendServerThatRefusesConnectionsHasCrashed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene()
-		s.reach = errRefused
+		s := newFixture()
+		s.reachErr = errRefused
 		for f := range suspect.Fingerprint(3) {
 			s.Broken(run(f + 1))
 		}
@@ -72,16 +75,17 @@
 		synctest.Wait()
 		must.Eq(t, []suspect.Fingerprint{1, 2, 3}, s.evidence)
 		must.Len(t, 1, s.crashes)
-		must.Eq(t, 1, s.looks)
+		must.Eq(t, 1, s.probes)
 		must.Eq(t, 1, s.gone)
 	})
 }
 
-// The traffic finds out sooner, and one run learns of it last.
-func TestRefusedConnectionTellsOfTheCrashAtOnce(t *testing.T) {
+// A refused connection of another request reveals the crash before the probe. A run that
+// loses its connection shortly afterwards belongs to the same crash.
+func TestRefusedConnectionReportsTheCrashAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene()
-		s.reach = errRefused
+		s := newFixture()
+		s.reachErr = errRefused
 		s.Broken(run(1))
 		s.Unsent(run(2), errRefused)
 		must.Eq(t, []suspect.Fingerprint{1}, s.evidence)
@@ -90,26 +94,26 @@
 		must.Eq(t, s.crashes[0], s.crashes[1])
 		time.Sleep(time.Second)
 		synctest.Wait()
-		must.Zero(t, s.looks)
+		must.Zero(t, s.probes)
 	})
 }
 
-// A lost answer or a reset connection is no crash, whoever tells that the backend
-// server lives: its next answer, or the look at it.
+// A lost response or a reset connection is no crash if the backend server responds to
+// another request or accepts the connection of the probe afterwards.
 func TestBackendServerThatLivesHasNotCrashed(t *testing.T) {
 	for name, tc := range map[string]struct {
-		reach error
-		alive func(*scene)
+		reachErr error
+		alive    func(*fixture)
 	}{
-		"an answer":              {errRefused, func(s *scene) { s.Answered(run(2), http.StatusInternalServerError) }},
-		"a refusal":              {errRefused, func(s *scene) { s.Alive(run(2)) }},
-		"the look":               {nil, func(*scene) {}},
-		"a look without outcome": {context.DeadlineExceeded, func(*scene) {}},
+		"an answer":              {errRefused, func(s *fixture) { s.Answered(run(2), http.StatusInternalServerError) }},
+		"a refusal":              {errRefused, func(s *fixture) { s.Alive(run(2)) }},
+		"the probe":              {nil, func(*fixture) {}},
+		"a probe without result": {context.DeadlineExceeded, func(*fixture) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newScene()
-				s.reach = tc.reach
+				s := newFixture()
+				s.reachErr = tc.reachErr
 				s.Broken(run(1))
 				time.Sleep(time.Millisecond)
 				tc.alive(s)
@@ -122,23 +126,25 @@
 	}
 }
 
-// Backend servers that reset connections when they are full break off many runs.
-func TestLooksAtABackendServerAreFew(t *testing.T) {
+// Backend servers that reset connections when they are full end many runs with a lost
+// connection. They must not cause a probe each.
+func TestProbesAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene()
+		s := newFixture()
 		for range 1000 {
 			s.Broken(run(1))
 			time.Sleep(5 * time.Millisecond)
 		}
 		synctest.Wait()
-		must.Between(t, 3, s.looks, 6, must.Sprint("in 5 s"))
+		must.Between(t, 3, s.probes, 6, must.Sprint("probes in 5 s"))
 	})
 }
 
-// A backend server may be back before anything has told of its end.
-func TestStartOfTheNextOneTellsOfACrash(t *testing.T) {
+// A new instance of the backend server may register before anything has revealed the end of
+// the old one.
+func TestNewInstanceRevealsACrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene()
+		s := newFixture()
 		s.Broken(run(1))
 		s.Restarted("another")
 		must.Len(t, 0, s.evidence)
@@ -147,10 +153,11 @@
 	})
 }
 
-// A backend server that has said goodbye breaks off what is left at its end.
+// A backend server that has sent its goodbye closes the connections of the runs that are
+// left when it stops. This is no crash.
 func TestBackendServerThatLeavesHasNotCrashed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScene()
+		s := newFixture()
 		s.leaving = true
 		s.Broken(run(1))
 		s.Unsent(run(2), errRefused)
@@ -158,9 +165,10 @@
 	})
 }
 
-// Only a success shows that a request can be run: other answers may come before.
-func TestSuccessOfASuspectIsTold(t *testing.T) {
-	s := newScene()
+// Only a success shows that the request can be run: any other status may be sent before the
+// run.
+func TestSuccessOfASuspectIsReported(t *testing.T) {
+	s := newFixture()
 	table := suspect.NewTable()
 	table.Merge(time.Now(), suspect.Entry{Fingerprint: 1, Evidence: []suspect.Evidence{{Crash: suspect.Crash{ID: 1, At: time.Now().Unix()}}}})
 	s.view = table.View()
@@ -171,7 +179,7 @@
 	must.Eq(t, []suspect.Fingerprint{1}, s.succeeded)
 }
 
-func TestHeadTellsWhatARequestWithoutABodyAsksFor(t *testing.T) {
+func TestFingerprintOfARequestWithoutBodyIsComputedFromItsHead(t *testing.T) {
 	r := httptest.NewRequest(http.MethodGet, "http://h/x", nil)
 	f, err := Fingerprint(r)
 	must.NoError(t, err)
@@ -180,7 +188,7 @@
 	r = httptest.NewRequest(http.MethodPost, "http://h/x", strings.NewReader("a body"))
 	f, err = Fingerprint(r)
 	must.NoError(t, err)
-	must.Zero(t, f, must.Sprint("an older node doesn't tell"))
+	must.Zero(t, f, must.Sprint("an older node sends no fingerprint"))
 	r.Header.Set(outcome.HeaderFingerprint, "7f")
 	f, err = Fingerprint(r)
 	must.NoError(t, err)
--- a/transport/gate/check.go
+++ b/transport/gate/check.go
@@ -10,17 +10,19 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// call is what the gate knows of a request.
+// call is a request as described by its node headers.
 type call struct {
 	kind     model.ClassKind
 	deadline time.Time
-	// run is the request as the backend server runs it.
+	// run is the run of the request by the backend server.
 	run crash.Run
 }
 
-// maxDeadline stands for a request without a deadline.
+// maxDeadline is the time until the deadline of a request that carries none.
 const maxDeadline = time.Hour
 
+// check parses the node headers. It returns a refusal if the request can't be admitted,
+// else nil.
 func (g *Gate) check(r *http.Request, now time.Time) (call, *forward.Refusal) {
 	a := g.cfg.Announcement()
 	c := call{kind: model.ClassKind(r.Header.Get(outcome.HeaderKind)), run: crash.Run{Instance: instanceOf(a), Addr: a.Addr}}
@@ -47,7 +49,8 @@
 	return c, g.quarantined(c)
 }
 
-// quarantined refuses a request under which backend servers have crashed.
+// quarantined refuses a request if backend servers have crashed while they ran such
+// requests. It returns nil for any other request.
 func (g *Gate) quarantined(c call) *forward.Refusal {
 	if !g.crashes.Quarantined(c.run.Fingerprint) {
 		return nil
--- a/transport/gate/cut_test.go
+++ b/transport/gate/cut_test.go
@@ -12,7 +12,8 @@
 	"github.com/jacinthgate/jacinthgate/transport/transporttest"
 )
 
-// An entry node that waits for the rest of a caller's body must be told that the answer broke off.
+// An entry node that still sends the request body must notice that the response was
+// truncated.
 func TestBrokenAnswerEndsItsConnectionWhileTheBodyIsBeingSent(t *testing.T) {
 	g := newGate(t, 0, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.ReadFull(r.Body, make([]byte, len("begin")))
--- a/transport/gate/forward.go
+++ b/transport/gate/forward.go
@@ -13,8 +13,8 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// forward sends the request to the backend server and passes its answer on. It
-// reports whether the backend server ran it to an answer.
+// forward sends the request to the backend server and relays the response. It returns true
+// if the backend server ran the request and its response was relayed whole.
 func (g *Gate) forward(ctx context.Context, w http.ResponseWriter, r *http.Request, c call) bool {
 	remaining := c.deadline.Sub(g.cfg.Now()).Milliseconds()
 	if remaining <= 0 {
@@ -42,6 +42,8 @@
 	return true
 }
 
+// backendRequest returns the request to send to the backend server. remaining is the time
+// until its deadline in milliseconds.
 func backendRequest(ctx context.Context, r *http.Request, stream *forward.StreamBody, addr string, remaining int64) *http.Request {
 	var body io.ReadCloser
 	if stream != nil {
@@ -55,13 +57,13 @@
 	return out
 }
 
-// shed reports whether the backend server promises that it did not run the
-// request.
+// shed reports whether the backend server declares that it shed the request without running
+// it.
 func shed(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(HeaderShed) == ShedNotRun
 }
 
-// failed classifies a request that got no response.
+// failed returns the refusal for a request that got no response, and records the failure.
 func (g *Gate) failed(ctx context.Context, r *http.Request, c call, err error) *forward.Refusal {
 	var send *forward.SendError
 	sent := !errors.As(err, &send) || send.Sent
@@ -80,6 +82,8 @@
 	}
 }
 
+// reasonOf returns whether a request was given up for its deadline or because its caller
+// cancelled it.
 func reasonOf(ctx context.Context, r *http.Request) outcome.Reason {
 	if r.Context().Err() == nil && ctx.Err() != nil {
 		return outcome.ReasonDeadline
@@ -87,7 +91,7 @@
 	return outcome.ReasonCancelled
 }
 
-// relay passes the answer on and aborts the connection when it is not whole.
+// relay relays the response. It aborts the connection if the response is truncated.
 func (g *Gate) relay(ctx context.Context, w http.ResponseWriter, resp *http.Response, c call, stream *forward.StreamBody) {
 	forward.StripNodeHeaders(resp.Header)
 	g.stamp(resp.Header)
--- a/transport/gate/gate.go
+++ b/transport/gate/gate.go
@@ -1,6 +1,6 @@
-// Package gate is the last hop before a host's backend server. It counts that
-// server's slots, lets requests wait for one within their deadline, and refuses
-// with certainty: what it refuses was not run.
+// Package gate implements the gate in front of a host's backend server, the last hop of a
+// request. It counts the slots of that server, queues requests for a slot until their
+// deadline, and guarantees that a request it refuses was not run.
 package gate
 
 import (
@@ -22,37 +22,34 @@
 	"github.com/jacinthgate/jacinthgate/transport/local"
 )
 
-// HeaderShed is the header with which a backend server says that it shed a
-// request: status 503 and the value ShedNotRun.
+// HeaderShed is the header with which a backend server declares that it shed a request,
+// together with status 503 and the value ShedNotRun.
 const HeaderShed = "X-Shed"
 
-// ShedNotRun is the value of HeaderShed that promises that the request was not
-// run.
+// ShedNotRun is the value of HeaderShed that declares that the request was not run.
 const ShedNotRun = "not-run"
 
 // Config configures a Gate.
 type Config struct {
-	// Self is this node.
+	// Self is the identifier of this node.
 	Self model.NodeID
-	// Announcement returns what the backend server announced. It is one
-	// atomic load.
+	// Announcement returns the last announcement of the backend server. It is one atomic
+	// load.
 	Announcement func() local.Announcement
-	// Service returns the configuration of a service, or nil when it is not
-	// held.
+	// Service returns the configuration of a service, or nil if this node doesn't hold it.
 	Service func(name string) *model.Service
-	// MaxQueue bounds the requests that wait, whatever the service allows; 0 is
-	// no bound.
+	// MaxQueue bounds the queue, also if the service allows a longer one; 0 is no bound.
 	MaxQueue int
-	// Backend sends to the backend server. Nil takes one with the default
+	// Backend sends requests to the backend server. Nil selects a client with the default
 	// settings.
 	Backend http.RoundTripper
 	// Suspects, Crashed and Succeeded are those of crash.Config.
 	Suspects  func() *suspect.View
 	Crashed   func(suspect.Crash, []suspect.Fingerprint)
 	Succeeded func(suspect.Fingerprint)
-	// Tick is the time between looks at the limits.
+	// Tick is the interval at which the limits are updated.
 	Tick time.Duration
-	// RetryAfter is when a refused request is asked to come back.
+	// RetryAfter is the Retry-After delay sent with a refusal.
 	RetryAfter time.Duration
 	// Metrics is the set that metrics are registered in.
 	Metrics *metrics.Set
@@ -62,7 +59,7 @@
 	Now func() time.Time
 }
 
-// DefaultConfig returns the settings that don't depend on the node.
+// DefaultConfig returns the default settings of the fields that don't depend on the node.
 func DefaultConfig() Config {
 	return Config{
 		Backend:    forward.NewClient(forward.DefaultClientConfig()),
@@ -84,7 +81,7 @@
 	crashes   *crash.Observer
 }
 
-// New returns a gate. Update or Run must be called for it to let requests in.
+// New returns a gate. It admits requests only once Update or Run has been called.
 func New(cfg Config) *Gate {
 	d := DefaultConfig()
 	if cfg.Backend == nil {
@@ -112,7 +109,7 @@
 		Crashed:   cfg.Crashed,
 		Succeeded: cfg.Succeeded,
 		Reach:     forward.Reach,
-		Gone:      func(string) {}, // its announcement runs out
+		Gone:      func(string) {}, // nothing to do: its announcement expires
 		Leaving:   func(instance string) bool { a := g.cfg.Announcement(); return a.Draining && instanceOf(a) == instance },
 		Crashes:   cfg.Metrics.GetOrCreateCounter("jacinthgate_gate_backend_crashes_total"),
 		Logger:    cfg.Logger,
@@ -121,7 +118,8 @@
 	return g
 }
 
-// instanceOf identifies the start of the backend server that an announcement is of.
+// instanceOf returns an identifier of the instance of the backend server that an
+// announcement is for.
 func instanceOf(a local.Announcement) string {
 	return a.Addr + " since " + strconv.FormatInt(a.Since.UnixMilli(), 10)
 }
@@ -137,8 +135,8 @@
 // Load returns the gate's load.
 func (g *Gate) Load() core.Load { return g.core.Load() }
 
-// Update takes over the announcement and the service's configuration. Call it
-// after each change of either.
+// Update applies the current announcement and the configuration of its service. It must be
+// called after each change of either.
 func (g *Gate) Update() {
 	a := g.cfg.Announcement()
 	l := core.Limits{
@@ -155,7 +153,7 @@
 	g.core.Update(l, g.cfg.Now())
 }
 
-// queueLength is the service's queue length, within the node's bound.
+// queueLength returns the service's queue length, bounded by MaxQueue.
 func (g *Gate) queueLength(s *model.Service) int {
 	if g.cfg.MaxQueue > 0 {
 		return min(s.QueueLength, g.cfg.MaxQueue)
@@ -163,7 +161,7 @@
 	return s.QueueLength
 }
 
-// Run keeps the limits current until ctx ends.
+// Run updates the limits at each tick until ctx ends.
 func (g *Gate) Run(ctx context.Context) error {
 	t := time.NewTicker(g.cfg.Tick)
 	defer t.Stop()
@@ -178,8 +176,8 @@
 	}
 }
 
-// ServeHTTP implements http.Handler. A response that breaks off makes it panic
-// with http.ErrAbortHandler.
+// ServeHTTP implements http.Handler. It panics with http.ErrAbortHandler if a response is
+// truncated.
 func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := g.cfg.Now()
 	call, refusal := g.check(r, now)
@@ -193,7 +191,7 @@
 		g.refuse(w, refusal)
 		return
 	}
-	if refusal = g.quarantined(call); refusal != nil { // another backend server has crashed meanwhile
+	if refusal = g.quarantined(call); refusal != nil { // a crash elsewhere may have caused a quarantine meanwhile
 		g.core.Release(model.WorkOf(call.kind), 0, g.cfg.Now())
 		g.refuse(w, refusal)
 		return
@@ -203,16 +201,17 @@
 	ran := false
 	defer func() {
 		end := g.cfg.Now()
-		took := time.Duration(0)
+		serviceTime := time.Duration(0)
 		if ran {
-			took = end.Sub(started)
+			serviceTime = end.Sub(started)
 		}
-		g.core.Release(model.WorkOf(call.kind), took, end)
+		g.core.Release(model.WorkOf(call.kind), serviceTime, end)
 	}()
 	ran = g.forward(ctx, w, r, call)
 }
 
-// acquire takes a slot, waiting for one if need be.
+// acquire waits for a slot until the request's deadline. It returns a refusal if the
+// request got none.
 func (g *Gate) acquire(ctx context.Context, c call) *forward.Refusal {
 	reason := g.core.Enter(ctx, core.Request{Work: model.WorkOf(c.kind), Deadline: c.deadline}, g.cfg.Now)
 	if reason == "" {
@@ -221,21 +220,23 @@
 	return g.notRun(reason, "the gate could not give the request a slot")
 }
 
+// notRun returns a refusal of a request that was not run, with the Retry-After delay.
 func (g *Gate) notRun(reason outcome.Reason, detail string) *forward.Refusal {
 	r := forward.NotRun(reason, detail)
 	r.RetryAfter = g.cfg.RetryAfter
 	return r
 }
 
+// refuse sends a refusal and counts it.
 func (g *Gate) refuse(w http.ResponseWriter, refusal *forward.Refusal) {
-	g.refused(refusal.Reason).Inc()
+	g.refusalCounter(refusal.Reason).Inc()
 	g.stamp(w.Header())
 	refusal.Write(w)
 }
 
-// refused returns the counter of refusals for a reason. An overload makes many
-// of them, so it takes the set's lock only once for each reason.
-func (g *Gate) refused(reason outcome.Reason) *metrics.Counter {
+// refusalCounter returns the counter of the refusals with a reason. As an overload causes
+// many refusals, it takes the lock of the metric set only once for each reason.
+func (g *Gate) refusalCounter(reason outcome.Reason) *metrics.Counter {
 	if c, ok := g.refusals.Load(reason); ok {
 		return c.(*metrics.Counter)
 	}
@@ -244,7 +245,8 @@
 	return c
 }
 
-// stamp sets the headers that every response of the gate carries.
+// stamp sets the headers that every response of the gate carries: the load and this node's
+// identifier.
 func (g *Gate) stamp(h http.Header) {
 	l := g.core.Load()
 	var b [3 * 12]byte
--- a/transport/gate/gate_test.go
+++ b/transport/gate/gate_test.go
@@ -15,9 +15,11 @@
 	"github.com/jacinthgate/jacinthgate/transport/local"
 )
 
-func newGate(t *testing.T, queue int, work http.HandlerFunc) *Gate {
+// newGate returns a gate in front of a backend server with one slot that runs handler.
+// queue is the queue length of its service.
+func newGate(t *testing.T, queue int, handler http.HandlerFunc) *Gate {
 	t.Helper()
-	s := httptest.NewServer(work)
+	s := httptest.NewServer(handler)
 	t.Cleanup(s.Close)
 	a := local.Announcement{Service: "rooms", Addr: strings.TrimPrefix(s.URL, "http://"), Slots: 1, Connections: 1}
 	g := New(Config{
@@ -29,6 +31,7 @@
 	return g
 }
 
+// send sends a request to the gate. deadline is in milliseconds.
 func send(ctx context.Context, g *Gate, deadline string) *httptest.ResponseRecorder {
 	r := httptest.NewRequestWithContext(ctx, "GET", "/x", nil)
 	r.Header.Set(outcome.HeaderService, "rooms")
@@ -39,8 +42,8 @@
 	return w
 }
 
-// A request that gives up waiting is answered at once, was not run, and leaves
-// no slot in use.
+// A queued request whose deadline passes or whose caller cancels it must be refused at once
+// as not run, and must leave no slot in use.
 func TestWaitingEndsWithTheRequest(t *testing.T) {
 	for _, tc := range []struct {
 		deadline string
@@ -58,7 +61,7 @@
 		second := make(chan *httptest.ResponseRecorder)
 		go func() { second <- send(ctx, g, tc.deadline) }()
 		for tc.reason == outcome.ReasonCancelled && g.Load().Queued == 0 {
-			continue // until the second one waits
+			continue // until the second request is queued
 		}
 		if tc.reason == outcome.ReasonCancelled {
 			cancel()
@@ -76,7 +79,7 @@
 	}
 }
 
-func TestFullHouseRefuses(t *testing.T) {
+func TestFullQueueRefuses(t *testing.T) {
 	entered, leave := make(chan struct{}), make(chan struct{})
 	g := newGate(t, 0, func(http.ResponseWriter, *http.Request) {
 		entered <- struct{}{}
--- a/transport/inbound/answer.go
+++ b/transport/inbound/answer.go
@@ -10,21 +10,24 @@
 	"github.com/jacinthgate/jacinthgate/protocol/outcome"
 )
 
-// refuse answers that the request was not run.
+// refuse returns the response to a request that was not run. reached says that the request
+// reached the backend server.
 func (g *Gate) refuse(req *http.Request, reason outcome.Reason, reached bool) *http.Response {
 	g.counter(reason).Inc()
-	return g.answer(req, http.StatusServiceUnavailable, outcome.NotRun, reason, reached)
+	return g.response(req, http.StatusServiceUnavailable, outcome.NotRun, reason, reached)
 }
 
-// unknown answers that the request may have run.
+// unknown returns the response to a request that may have run.
 func (g *Gate) unknown(req *http.Request, reason outcome.Reason) *http.Response {
 	g.counter(reason).Inc()
-	return g.answer(req, http.StatusBadGateway, outcome.Unknown, reason, true)
+	return g.response(req, http.StatusBadGateway, outcome.Unknown, reason, true)
 }
 
+// reachedValue is the value of outcome.HeaderReached.
 var reachedValue = []string{"1"}
 
-func (g *Gate) answer(req *http.Request, status int, o outcome.Outcome, reason outcome.Reason, reached bool) *http.Response {
+// response returns a response of the gate itself, with node headers and without a body.
+func (g *Gate) response(req *http.Request, status int, o outcome.Outcome, reason outcome.Reason, reached bool) *http.Response {
 	h := make(http.Header, 8)
 	h[outcome.HeaderOutcome] = []string{string(o)}
 	h[outcome.HeaderReason] = []string{string(reason)}
@@ -38,7 +41,7 @@
 	}
 }
 
-// counter returns the counter of refusals for a reason.
+// counter returns the counter of the refusals with a reason.
 func (g *Gate) counter(reason outcome.Reason) *metrics.Counter {
 	if c, ok := g.refusals.Load(reason); ok {
 		return c.(*metrics.Counter)
@@ -48,11 +51,12 @@
 	return c
 }
 
-// stamp tells the load with every answer.
+// stamp sets the headers that report the load of the backend server and the host's budget
+// usage. Every response carries them.
 func (g *Gate) stamp(h http.Header) {
 	l := g.core.Load()
-	told := balance.Load{Used: l.Used, Slots: max(1, l.Slots), Queued: l.Queued, MeanServiceTime: g.core.MeanServiceTime(), Slowdown: g.slowdown()}
-	h[outcome.HeaderLoad] = []string{told.String()}
+	load := balance.Load{Used: l.Used, Slots: max(1, l.Slots), Queued: l.Queued, MeanServiceTime: g.core.MeanServiceTime(), Slowdown: g.slowdown()}
+	h[outcome.HeaderLoad] = []string{load.String()}
 	if s := g.cfg.Strain(g.cfg.Now()); s > 0 {
 		h[outcome.HeaderStrain] = []string{strconv.Itoa(s.Percent())}
 	}
--- a/transport/inbound/body.go
+++ b/transport/inbound/body.go
@@ -11,76 +11,78 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// slotBody is a backend server's response body. Its end gives the slot back, as does the end of the
-// time that its backend server has, whether or not it is read.
+// slotBody is the response body of a backend server. The slot of the request is released
+// when the body ends or when ctx ends, whichever comes first, even if nobody reads the
+// body.
 type slotBody struct {
 	io.ReadCloser
 	ctx  context.Context
-	stop func() bool // ends the watch over ctx; nil without one
-	// left is how much of the body is to come, in bytes; below 0 where it has no
-	// length.
-	left int64
-	// took is how long the backend server was waited for: for its head, and in reads of the body.
-	// The time in which nobody reads is its reader's.
-	took time.Duration
-	now  func() time.Time
-	done func(took time.Duration, how bodyEnd)
-	// using is held while the body is read or ended.
-	using sync.Mutex
-	ended bool
-	late  error // that of ctx, where the body ended with it
+	stop func() bool // stops watching ctx; nil if ctx isn't watched
+	// remaining is the number of bytes that are still to be read. It is negative if the
+	// length of the body isn't known.
+	remaining int64
+	// serviceTime is the time spent waiting for the backend server: for the head of the
+	// response, and in reads of the body. Time in which the receiver doesn't read isn't
+	// counted.
+	serviceTime time.Duration
+	now         func() time.Time
+	done        func(serviceTime time.Duration, how bodyEnd)
+	// mu is held while the body is read or ended.
+	mu     sync.Mutex
+	ended  bool
+	ctxErr error // the error of ctx, if the body ended incomplete because of it
 }
 
-// unwatchedBytes is the largest body of known length that isn't watched, in bytes: such a body is
-// read at once, not as its receiver takes it.
-const unwatchedBytes = forward.PieceBytes
+// maxUnwatched is the largest body of known length that isn't watched, in bytes. Such a
+// body is read in one piece, so a slow receiver can't delay its end.
+const maxUnwatched = forward.PieceBytes
 
-// watch ends the body with its context.
+// watch makes the body end when its context ends.
 func (b *slotBody) watch() {
-	if b.left >= 0 && b.left <= unwatchedBytes {
+	if b.remaining >= 0 && b.remaining <= maxUnwatched {
 		return
 	}
-	b.using.Lock()
-	defer b.using.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	b.stop = context.AfterFunc(b.ctx, b.expire)
 }
 
-// expire ends the body, and with it the connection to a backend server that still sends.
+// expire ends the body. It closes the connection to a backend server that is still sending.
 func (b *slotBody) expire() {
-	_ = b.ReadCloser.Close() // a read under way fails, and tells how the body ended
-	b.using.Lock()
-	defer b.using.Unlock()
-	b.end(bodyLeft)
+	_ = b.ReadCloser.Close() // a concurrent Read fails and records how the body ended
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.end(bodyAbandoned)
 }
 
-// bodyEnd says how a response body ended.
+// bodyEnd is the way in which a response body ended.
 type bodyEnd uint8
 
-// The ways.
+// The ways in which a body ends.
 const (
-	// bodyWhole is a body that was read to its end.
-	bodyWhole bodyEnd = iota
-	// bodyBroken is one that broke off.
-	bodyBroken
-	// bodyLeft is one that was closed before its end.
-	bodyLeft
+	// bodyComplete means that the body was read to its end.
+	bodyComplete bodyEnd = iota
+	// bodyTruncated means that a read failed before the end.
+	bodyTruncated
+	// bodyAbandoned means that the body was closed before its end.
+	bodyAbandoned
 )
 
 // Read implements io.Reader.
 func (b *slotBody) Read(p []byte) (int, error) {
-	b.using.Lock()
-	defer b.using.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	began := b.now()
 	n, err := b.ReadCloser.Read(p)
-	b.took += b.now().Sub(began)
-	b.left -= int64(n)
+	b.serviceTime += b.now().Sub(began)
+	b.remaining -= int64(n)
 	switch {
 	case errors.Is(err, io.EOF):
-		b.end(bodyWhole)
+		b.end(bodyComplete)
 	case err != nil:
-		b.end(bodyBroken)
-		if b.late != nil {
-			err = b.late
+		b.end(bodyTruncated)
+		if b.ctxErr != nil {
+			err = b.ctxErr
 		}
 	}
 	return n, err
@@ -89,48 +91,50 @@
 // Close implements io.Closer.
 func (b *slotBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.using.Lock()
-	defer b.using.Unlock()
-	if b.left == 0 {
-		b.end(bodyWhole)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.remaining == 0 {
+		b.end(bodyComplete)
 	}
-	b.end(bodyLeft)
+	b.end(bodyAbandoned)
 	return err
 }
 
-// end tells the first end of the body. Its caller holds using.
+// end reports the first end of the body to done and ignores further ones. The caller holds
+// mu.
 func (b *slotBody) end(how bodyEnd) {
 	if b.ended {
 		return
 	}
 	b.ended = true
-	if how != bodyWhole {
-		b.late = b.ctx.Err()
+	if how != bodyComplete {
+		b.ctxErr = b.ctx.Err()
 	}
 	if b.stop != nil {
 		b.stop()
 	}
-	b.done(b.took, how)
+	b.done(b.serviceTime, how)
 }
 
-// wasSent reports whether a failed request may have reached its receiver.
+// wasSent reports whether a failed request may have reached the backend server.
 func wasSent(err error) bool {
 	var send *forward.SendError
 	return !errors.As(err, &send) || send.Sent
 }
 
-// bodyEnded tells how a run ended that the backend server has answered.
-func (g *Gate) bodyEnded(req *http.Request, c call, sent time.Time, took time.Duration, status int, how bodyEnd) {
+// recordBodyEnd records the result of a run whose response body has ended, for the
+// roll-out's meter and for the detection of crashes.
+func (g *Gate) recordBodyEnd(req *http.Request, c call, sent time.Time, serviceTime time.Duration, status int, how bodyEnd) {
 	now := g.cfg.Now()
-	broken := how == bodyBroken && req.Context().Err() == nil && now.Before(c.Deadline)
+	broken := how == bodyTruncated && req.Context().Err() == nil && now.Before(c.Deadline)
 	switch {
-	case broken, how == bodyWhole && forward.FailedStatus(status):
+	case broken, how == bodyComplete && forward.FailedStatus(status):
 		g.cfg.Meter.Failed(c.Work)
-	case how == bodyWhole:
-		g.cfg.Meter.Answered(c.Work, took, now.Before(c.instance.WarmAt))
+	case how == bodyComplete:
+		g.cfg.Meter.Answered(c.Work, serviceTime, now.Before(c.instance.WarmAt))
 	}
 	switch {
-	case how == bodyWhole:
+	case how == bodyComplete:
 		g.crashes.Answered(c.run(sent), status)
 	case broken:
 		g.crashes.Broken(c.run(sent))
--- a/transport/inbound/bulk.go
+++ b/transport/inbound/bulk.go
@@ -13,21 +13,24 @@
 )
 
 const (
-	// maxHeld bounds a large answer that is taken whole from the backend
-	// server, in bytes: its slot is then free while the answer is being sent.
-	maxHeld = 2 << 20
-	// maxHeldAll bounds all answers so held, in bytes: a tenth of the memory of
-	// the users' smallest hosts.
-	maxHeldAll = 11 << 20
-	// maxSending is the number of large answers that are sent side by side: more
-	// than one, so that a receiver that has stopped holds up no other.
-	maxSending = 2
-	// sendGrace is how long past the request's deadline a large answer is still sent: its entry
-	// node takes no more of it then.
+	// maxBuffered is the largest response of kind bulk that is read from the backend server
+	// into memory, in bytes. The slot is then free while the response is sent to the entry
+	// node.
+	maxBuffered = 2 << 20
+	// maxBufferedTotal bounds all responses that are buffered at one time, in bytes. It is
+	// a tenth of the memory of the users' smallest hosts.
+	maxBufferedTotal = 11 << 20
+	// maxConcurrentSends is the number of large responses that are sent at the same time.
+	// It is more than one so that one stalled receiver doesn't block the others.
+	maxConcurrentSends = 2
+	// sendGrace is how long after the request's deadline a large response is still sent.
+	// The entry node reads no more of it after that.
 	sendGrace = 100 * time.Millisecond
 )
 
-// serveBulk serves a request for a large answer of another node.
+// serveBulk serves another node's request for a large response. It refuses the request
+// without running it if the backlog of the link is longer than the wait that the entry node
+// allows.
 func (g *Gate) serveBulk(w http.ResponseWriter, req *http.Request) error {
 	wait, given, err := forward.HeaderInt(req.Header, outcome.HeaderLinkWait)
 	if err != nil || !given {
@@ -38,29 +41,31 @@
 		return forward.Relay(w, g.refuse(req, outcome.ReasonMalformed, false))
 	}
 	sendBy := g.cfg.Now().Add(time.Duration(left)*time.Millisecond + sendGrace)
-	ticket, backlog, ok := g.cfg.Lane.Reserve(g.cfg.Now(), time.Duration(wait)*time.Millisecond)
+	reservation, backlog, ok := g.cfg.Lane.Reserve(g.cfg.Now(), time.Duration(wait)*time.Millisecond)
 	if !ok {
-		return forward.Relay(w, g.refuseLink(req, backlog))
+		return forward.Relay(w, g.refuseLinkFull(req, backlog))
 	}
-	defer ticket.Done()
+	defer reservation.Done()
 	resp, err := g.RoundTrip(req)
 	if err != nil {
 		return err
 	}
-	return g.relayPaced(w, req, resp, ticket, sendBy)
+	return g.relayPaced(w, req, resp, reservation, sendBy)
 }
 
-// refuseLink refuses a large answer for the link's backlog, and tells it, so that
-// the entry node can take the host with the shortest one.
-func (g *Gate) refuseLink(req *http.Request, backlog time.Duration) *http.Response {
+// refuseLinkFull refuses a request for a large response because of the link's backlog. The
+// response carries the backlog, so that the entry node can choose the host with the
+// shortest one.
+func (g *Gate) refuseLinkFull(req *http.Request, backlog time.Duration) *http.Response {
 	resp := g.refuse(req, outcome.ReasonLinkFull, false)
 	resp.Header[outcome.HeaderLinkBacklog] = []string{strconv.FormatInt(backlog.Milliseconds(), 10)}
 	return resp
 }
 
-// relayPaced sends an answer at the lane's rate, few at a time: answers that are
-// sent side by side all end late. Small ones go at once. A caller that takes nothing keeps its place
-// until sendBy.
+// relayPaced relays a large response at the shaper's rate. At most maxConcurrentSends are
+// sent at the same time, as each further one would delay all of them. A response of at most
+// forward.PieceBytes is sent at once. Sending ends at sendBy, so that a caller that reads
+// nothing can't block others any longer.
 func (g *Gate) relayPaced(w http.ResponseWriter, req *http.Request, resp *http.Response, t *pace.Reservation, sendBy time.Time) error {
 	size := resp.ContentLength
 	if size >= 0 && size <= forward.PieceBytes {
@@ -76,47 +81,49 @@
 	case g.sending <- struct{}{}:
 		defer func() { <-g.sending }()
 	case <-ctx.Done():
-		_ = resp.Body.Close() // its caller has left, or takes it no longer
+		_ = resp.Body.Close() // the caller has gone, or sendBy has passed
 		return &CutError{Length: size, Err: &forward.CallerError{Err: ctx.Err()}}
 	}
 	rc := http.NewResponseController(w)
-	_ = rc.SetWriteDeadline(sendBy) // a writer that can't do it has no connection
+	_ = rc.SetWriteDeadline(sendBy) // a writer without support for deadlines has no connection
 	if err := relay(w, req.WithContext(ctx), resp, t); err != nil {
 		return err
 	}
-	_ = rc.SetWriteDeadline(time.Time{}) // net/http keeps it for the connection's next requests
+	_ = rc.SetWriteDeadline(time.Time{}) // or net/http applies it to the connection's next requests too
 	return nil
 }
 
-// holdWhole takes a large answer whole from the backend server, so that its
-// slot is free at once. Where there is no room the answer stays as it is. The
-// error is that of an answer that broke off.
-func (g *Gate) holdWhole(resp *http.Response) error {
+// bufferResponse reads a large response whole from the backend server, which frees the
+// slot. A response that is too large, of unknown length or beyond maxBufferedTotal stays as
+// it is. An error means that the response was truncated.
+func (g *Gate) bufferResponse(resp *http.Response) error {
 	size := resp.ContentLength
-	if size <= 0 || size > maxHeld {
+	if size <= 0 || size > maxBuffered {
 		return nil
 	}
-	if g.held.Add(size) > maxHeldAll {
-		g.held.Add(-size)
+	if g.buffered.Add(size) > maxBufferedTotal {
+		g.buffered.Add(-size)
 		return nil
 	}
 	body := make([]byte, size)
 	if err := forward.ReadWhole(resp.Body, body); err != nil {
-		g.held.Add(-size)
+		g.buffered.Add(-size)
 		return err
 	}
-	resp.Body = &heldBody{KeptBody: forward.NewKeptBody(body), release: func() { g.held.Add(-size) }}
+	resp.Body = &bufferedBody{KeptBody: forward.NewKeptBody(body), release: func() { g.buffered.Add(-size) }}
 	return nil
 }
 
-// heldBody is a body that counts as held until it is closed.
-type heldBody struct {
+// bufferedBody is a response body in memory. It counts towards maxBufferedTotal until it is
+// closed.
+type bufferedBody struct {
 	*forward.KeptBody
 	release func()
 }
 
-// Close implements io.Closer. It is called once, by who relays the answer.
-func (b *heldBody) Close() error {
+// Close implements io.Closer. Only the code that relays the response calls it, so it needs
+// no lock.
+func (b *bufferedBody) Close() error {
 	if b.release != nil {
 		b.release()
 		b.release = nil
@@ -124,7 +131,7 @@
 	return nil
 }
 
-// isBulk reports whether a request asks for a large answer.
+// isBulk reports whether the headers are those of a request for a large response.
 func isBulk(h http.Header) bool {
 	v := h[outcome.HeaderKind]
 	return len(v) == 1 && v[0] == string(model.KindBulk)
--- a/transport/inbound/bulk_test.go
+++ b/transport/inbound/bulk_test.go
@@ -12,24 +12,25 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// bounded keeps the deadlines for writing that were set.
-type bounded struct {
+// deadlineRecorder is a response writer that records the write deadlines set on it.
+type deadlineRecorder struct {
 	*httptest.ResponseRecorder
 	set []time.Time
 }
 
-// SetWriteDeadline implements what http.ResponseController looks for.
-func (b *bounded) SetWriteDeadline(at time.Time) error {
+// SetWriteDeadline implements the method that http.ResponseController calls.
+func (b *deadlineRecorder) SetWriteDeadline(at time.Time) error {
 	b.set = append(b.set, at)
 	return nil
 }
 
-// The deadline for a large answer must not end the next one on its connection.
-func TestDeadlineForWritingEndsWithItsAnswer(t *testing.T) {
+// Guards against a write deadline of a large response that also ends the next response on
+// the same connection.
+func TestWriteDeadlineIsClearedAfterResponse(t *testing.T) {
 	g, i := newGate(t, attempt.NewRuns(), 0, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(make([]byte, 64<<10))
 	})
-	w := &bounded{ResponseRecorder: httptest.NewRecorder()}
+	w := &deadlineRecorder{ResponseRecorder: httptest.NewRecorder()}
 	g.ServeHTTP(w, requestTo(i, model.KindBulk))
 	must.Eq(t, 64<<10, w.Body.Len())
 	must.SliceLen(t, 2, w.set)
--- a/transport/inbound/check.go
+++ b/transport/inbound/check.go
@@ -13,19 +13,20 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// call is what the gate knows of a request.
+// call is a request as described by its node headers, with the instance that it is for.
 type call struct {
 	core.Request
 	instance *instance.Instance
-	// fingerprint is that of what the request asks for; 0 where the entry node tells
-	// none.
+	// fingerprint identifies what the request asks for; 0 if the entry node sent no
+	// fingerprint.
 	fingerprint suspect.Fingerprint
-	// startBy is until when the request may be handed to the backend server; zero is no
-	// bound.
+	// startBy is the time after which the request must not be sent to the backend server;
+	// zero is no bound.
 	startBy time.Time
 }
 
-// check reads the node headers and refuses what can't be sent.
+// check parses the node headers. It returns the reason for a refusal, or "" if the request
+// may be admitted.
 func (g *Gate) check(req *http.Request, now time.Time) (call, outcome.Reason) {
 	c := call{instance: g.cfg.Instance()}
 	i := c.instance
@@ -34,16 +35,16 @@
 		return c, outcome.ReasonNoEndpoint
 	case i.Service != req.Header.Get(outcome.HeaderService), i.Key() != req.Header.Get(outcome.HeaderInstance):
 		return c, outcome.ReasonWrongService
-	case g.left(i, now):
+	case g.drainGraceOver(i, now):
 		return c, outcome.ReasonDraining
 	case g.cfg.Evacuated():
 		return c, outcome.ReasonEvacuated
 	case g.withdrawn(i):
 		return c, outcome.ReasonWithdrawn
 	case now.Before(i.WarmAt) && g.cfg.ColdUnknown():
-		return c, outcome.ReasonNotReady // any request may be one too many
+		return c, outcome.ReasonNotReady // even one request may exceed the cold limits
 	}
-	if !g.read(&c, req, now) {
+	if !g.parseHeaders(&c, req, now) {
 		return c, outcome.ReasonMalformed
 	}
 	if g.crashes.Quarantined(c.fingerprint) {
@@ -52,19 +53,19 @@
 	return c, ""
 }
 
-// read takes over what the node headers tell of a request, and reports false where one of them
-// can't be read.
-func (g *Gate) read(c *call, req *http.Request, now time.Time) bool {
+// parseHeaders fills c from the node headers of a request. It returns false if one of them
+// is invalid.
+func (g *Gate) parseHeaders(c *call, req *http.Request, now time.Time) bool {
 	h := req.Header
 	left, given, err := forward.HeaderInt(h, outcome.HeaderDeadline)
 	if err != nil || !given {
 		return false
 	}
-	within, bounded, err := forward.HeaderInt(h, outcome.HeaderStartWithin)
+	within, limited, err := forward.HeaderInt(h, outcome.HeaderStartWithin)
 	if err != nil {
 		return false
 	}
-	if bounded {
+	if limited {
 		c.startBy = now.Add(time.Duration(within) * time.Millisecond)
 	}
 	c.Deadline = now.Add(time.Duration(left) * time.Millisecond)
@@ -82,7 +83,8 @@
 	return err == nil
 }
 
-// run returns the request as the backend server runs it.
+// run returns the run of the request by the backend server, as the crash observer needs it.
+// sent is when it was sent.
 func (c *call) run(sent time.Time) crash.Run {
 	return crash.Run{Instance: c.instance.Key(), Addr: c.instance.Addr, Fingerprint: c.fingerprint, Sent: sent}
 }
--- a/transport/inbound/cold_test.go
+++ b/transport/inbound/cold_test.go
@@ -11,8 +11,8 @@
 	"github.com/jacinthgate/jacinthgate/protocol/outcome"
 )
 
-// Guards against a node that has just started, beside a cold backend server, and lets everything in
-// since it doesn't know the configuration yet.
+// Guards against overloading a cold backend server: a node that has just started doesn't
+// have the configuration yet, and so no limits for the cold backend server.
 func TestColdBackendServerGetsNothingBeforeItsRateIsKnown(t *testing.T) {
 	g, i := newGate(t, attempt.NewRuns(), 0, func(http.ResponseWriter, *http.Request) {})
 	unknown := true
@@ -21,14 +21,14 @@
 		_, reason := g.check(gateRequest(t, i.Key()), time.Now())
 		return reason
 	}
-	must.Eq(t, "", reason(), must.Sprint("it is warm"))
+	must.Eq(t, "", reason(), must.Sprint("the backend server is warm"))
 	i.WarmAt = time.Now().Add(time.Hour)
 	must.Eq(t, outcome.ReasonNotReady, reason())
 	unknown = false
 	must.Eq(t, "", reason())
 }
 
-// gateRequest returns a request of another node to an instance.
+// gateRequest returns a request of another node for an instance.
 func gateRequest(t *testing.T, instance string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://gate/status", http.NoBody)
--- a/transport/inbound/cut.go
+++ b/transport/inbound/cut.go
@@ -8,14 +8,14 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// CutError reports an answer that broke off.
+// CutError reports a response that could not be relayed completely.
 type CutError struct {
-	// Received is how much of the body was read to be passed on, in bytes.
+	// Received is the number of bytes of the body that were read from the backend server.
 	Received int64
-	// Length is how long the body should be, in bytes; -1 where that isn't known.
+	// Length is the length of the complete body in bytes; -1 if it isn't known.
 	Length int64
-	// Err is the cause: a *forward.TruncatedError where the backend server's side broke off, a
-	// *forward.CallerError where the entry node can't be written to.
+	// Err is the cause: a *forward.TruncatedError if the backend server's connection
+	// failed, a *forward.CallerError if writing to the entry node failed.
 	Err error
 }
 
@@ -25,27 +25,28 @@
 // Unwrap returns the cause.
 func (e *CutError) Unwrap() error { return e.Err }
 
-// relay passes an answer on. The error is a *CutError. ticket paces the answer; nil sends it at
-// once.
-func relay(w http.ResponseWriter, req *http.Request, resp *http.Response, ticket forward.Pacer) error {
+// relay relays a response to the entry node. pacer limits the rate; nil sends without a
+// limit. The error is a *CutError.
+func relay(w http.ResponseWriter, req *http.Request, resp *http.Response, pacer forward.Pacer) error {
 	length := resp.ContentLength
 	counted := &forward.CountedBody{ReadCloser: resp.Body}
 	resp.Body = counted
-	if ticket != nil {
-		resp.Body = forward.Paced(req.Context(), counted, ticket)
+	if pacer != nil {
+		resp.Body = forward.Paced(req.Context(), counted, pacer)
 	}
 	err := forward.Relay(w, resp)
 	if err == nil {
 		return nil
 	}
 	if left := req.Context().Err(); left != nil {
-		err = &forward.CallerError{Err: left} // it has ended the reading too
+		err = &forward.CallerError{Err: left} // the end of the context made the read fail as well
 	}
 	return &CutError{Received: counted.Received, Length: length, Err: err}
 }
 
-// noteCut tells of an answer that broke off. h are the request's headers as they arrived.
-func (g *Gate) noteCut(h http.Header, instance string, err error) {
+// logCut logs a response that was not relayed completely. h are the headers of the request
+// as it arrived.
+func (g *Gate) logCut(h http.Header, instance string, err error) {
 	var cut *CutError
 	if !errors.As(err, &cut) {
 		return
--- a/transport/inbound/cut_test.go
+++ b/transport/inbound/cut_test.go
@@ -17,7 +17,7 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// requestTo returns a request of an entry node that has 5 s.
+// requestTo returns an entry node's request with a deadline in 5 s.
 func requestTo(i *instance.Instance, kind model.ClassKind) *http.Request {
 	r := httptest.NewRequest(http.MethodGet, "http://h/x", nil)
 	r.Header.Set(outcome.HeaderService, "s")
@@ -29,32 +29,32 @@
 	return r
 }
 
-// breaksOff sends a part of an answer of 9 bytes.
-func breaksOff(w http.ResponseWriter, _ *http.Request) {
+// sendTruncated sends 4 bytes of a response of 9 bytes and then closes the connection.
+func sendTruncated(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Length", "9")
 	_, _ = io.WriteString(w, "part")
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-// deaf is a caller that can't be written to.
-type deaf struct{ *httptest.ResponseRecorder }
+// brokenWriter is a response writer of a caller whose connection is closed.
+type brokenWriter struct{ *httptest.ResponseRecorder }
 
-func (deaf) Write([]byte) (int, error) { return 0, errors.New("gone") }
+func (brokenWriter) Write([]byte) (int, error) { return 0, errors.New("gone") }
 
-func TestGateTellsOfAnswersThatBreakOff(t *testing.T) {
+func TestTruncatedResponsesAreLogged(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer http.HandlerFunc
-		kind   model.ClassKind
-		w      http.ResponseWriter
-		aborts bool
-		cause  string
+		handler http.HandlerFunc
+		kind    model.ClassKind
+		w       http.ResponseWriter
+		aborts  bool
+		cause   string
 	}{
-		"passed on":   {breaksOff, model.KindInteractive, httptest.NewRecorder(), true, "response cut short: unexpected EOF"},
-		"held whole":  {breaksOff, model.KindBulk, httptest.NewRecorder(), false, "response cut short: unexpected EOF"},
-		"caller gone": {func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "part") }, model.KindInteractive, deaf{httptest.NewRecorder()}, true, "caller went away: gone"},
+		"relayed":     {sendTruncated, model.KindInteractive, httptest.NewRecorder(), true, "response cut short: unexpected EOF"},
+		"buffered":    {sendTruncated, model.KindBulk, httptest.NewRecorder(), false, "response cut short: unexpected EOF"},
+		"caller gone": {func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "part") }, model.KindInteractive, brokenWriter{httptest.NewRecorder()}, true, "caller went away: gone"},
 	} {
-		g, i := newGate(t, attempt.NewRuns(), 0, c.answer)
+		g, i := newGate(t, attempt.NewRuns(), 0, c.handler)
 		var lines bytes.Buffer
 		g.cfg.Details = log.NewLogfmtLogger(&lines)
 		aborted := func() (aborted bool) {
--- a/transport/inbound/gate.go
+++ b/transport/inbound/gate.go
@@ -1,8 +1,8 @@
-// Package inbound is the last hop in front of a host's own backend server, on a
-// site whose backend servers have incarnations of their own. It admits requests
-// to the backend server's slots and refuses with certainty: what it refuses has
-// not run. It is also used in the process itself, as an http.RoundTripper, by
-// requests that begin on the same host.
+// Package inbound implements the gate in front of a host's own backend server, on a site
+// whose backend servers have an identifier for each instance. It is the last hop of a
+// request. The gate admits requests to the slots of the backend server and guarantees that
+// a request it refuses has not run. Requests that begin on the same host use it within the
+// process, as an http.RoundTripper.
 package inbound
 
 import (
@@ -32,57 +32,58 @@
 
 // Config configures a Gate.
 type Config struct {
-	// Instance returns the backend server on this host, or nil. It is one
-	// atomic load.
+	// Instance returns the backend server on this host, or nil. It is one atomic load.
 	Instance func() *instance.Instance
-	// Service returns the configuration of a service; zero when it isn't known.
+	// Service returns the configuration of a service; zero if it isn't known.
 	Service func(name string) route.Service
 	// Cold returns the limits of a backend server that is cold until a time and can handle
-	// perSecond requests per second meanwhile.
+	// perSecond requests per second while it is.
 	Cold func(perSecond float64, until time.Time) core.ColdLimits
-	// ColdUnknown reports whether it isn't known yet how much a cold backend server can handle.
+	// ColdUnknown reports whether the rate that a cold backend server can handle isn't
+	// known yet.
 	ColdUnknown func() bool
 	// Evacuated reports whether requests are refused because the availability zone is
 	// evacuated.
 	Evacuated func() bool
-	// Weight returns the weight of an organisation, by which slots that are short are
-	// shared. It is asked only for requests that name one.
+	// Weight returns the weight of an organisation in the sharing of scarce slots. It is
+	// called only for requests that name an organisation.
 	Weight func(organisation string) float64
-	// Dialect speaks with the backend server.
+	// Dialect translates between node headers and the headers of the backend server.
 	Dialect dialect.Dialect
-	// Backend sends to the backend server.
+	// Backend sends requests to the backend server.
 	Backend *forward.Client
-	// Lane paces large answers to other nodes, and Uploads admits the bodies of uploads from them.
+	// Lane paces large responses to other nodes. Uploads schedules the bodies of uploads
+	// from them.
 	Lane, Uploads *pace.Shaper
-	// DrainGrace is how long a leaving backend server still takes requests that
-	// other nodes have sent before they knew.
+	// DrainGrace is how long a draining backend server still gets requests, as other nodes
+	// may have sent them before they learned of the drain.
 	DrainGrace time.Duration
-	// AnswerGrace is how long past its deadline a request is left to the
-	// backend server, which answers a late request by itself.
+	// AnswerGrace is how long after its deadline a request is left to the backend server,
+	// which sends a response to a late request by itself.
 	AnswerGrace time.Duration
-	// Runs is told of the runs that are repeats.
+	// Runs registers the runs of retries.
 	Runs *attempt.Runs
-	// Strain returns what the calls of those take of the bound on repeats.
+	// Strain returns the usage of the retry budget by the nested calls of those runs.
 	Strain func(now time.Time) attempt.BudgetUsage
 	// Suspects, Crashed and Succeeded are those of crash.Config.
 	Suspects  func() *suspect.View
 	Crashed   func(suspect.Crash, []suspect.Fingerprint)
 	Succeeded func(suspect.Fingerprint)
-	// Unreachable is told the key of the instance when a connection to the backend
-	// server is refused.
+	// Unreachable is called with the key of the instance when the backend server refuses a
+	// connection.
 	Unreachable func(key string)
-	// Replaced is told the key of the instance when another backend server has the
-	// address.
+	// Replaced is called with the key of the instance when another backend server responds
+	// at its address.
 	Replaced func(key string)
-	// Meter counts what becomes of the requests that are run.
+	// Meter counts the results of the requests that are run.
 	Meter *rollout.Meter
-	// Routing returns which versions of backend servers get requests. It is one atomic
-	// load; nil knows of no roll-out.
+	// Routing returns which versions of backend servers get requests; nil if there is no
+	// roll-out. It is one atomic load.
 	Routing func() *rollout.RoutingTable
 	// Metrics is the set that metrics are registered in.
 	Metrics *metrics.Set
-	// Logger gets one line for each event, and Details those on attempts that are part of a
-	// request; nil is Logger.
+	// Logger gets one line for each event. Details gets the events of single attempts of a
+	// request; if it is nil, they go to Logger.
 	Logger, Details log.Logger
 	// Now is the clock.
 	Now func() time.Time
@@ -94,24 +95,24 @@
 	cfg      Config
 	core     *core.Gate
 	refusals sync.Map     // outcome.Reason -> *metrics.Counter
-	serving  atomic.Int64 // requests of other nodes
-	// held are the bytes of large answers that are being sent.
-	held atomic.Int64
-	// sending bounds the large answers that are sent at one time.
+	serving  atomic.Int64 // requests of other nodes in flight
+	// buffered is the total size of the large responses in memory, in bytes.
+	buffered atomic.Int64
+	// sending limits the number of large responses that are sent at the same time.
 	sending chan struct{}
-	// receiving holds the upload whose body is received.
+	// receiving holds one element while an upload's body is received.
 	receiving chan struct{}
 	crashes   *crash.Observer
-	// unreadable counts the loads of the backend server that can't be read.
+	// unreadable counts the backend server's load reports that could not be parsed.
 	unreadable *metrics.Counter
 }
 
-// New returns a gate. Update must be called for it to let requests in.
+// New returns a gate. It refuses all requests until Update is called.
 func New(cfg Config) *Gate {
 	if cfg.Details == nil {
 		cfg.Details = cfg.Logger
 	}
-	g := &Gate{cfg: cfg, core: core.New(), sending: make(chan struct{}, maxSending), receiving: make(chan struct{}, 1)}
+	g := &Gate{cfg: cfg, core: core.New(), sending: make(chan struct{}, maxConcurrentSends), receiving: make(chan struct{}, 1)}
 	g.crashes = crash.New(crash.Config{
 		Suspects:  cfg.Suspects,
 		Crashed:   cfg.Crashed,
@@ -132,18 +133,18 @@
 	return g
 }
 
-// Serving returns the number of requests of other nodes that are under way.
+// Serving returns the number of requests of other nodes that are in flight.
 func (g *Gate) Serving() int { return int(g.serving.Load()) }
 
 // Load returns the gate's load.
 func (g *Gate) Load() core.Load { return g.core.Load() }
 
-// queuePerSlot bounds the requests that wait, for each slot of the backend
-// server: more would wait past any useful time.
+// queuePerSlot bounds the queue, in requests for each slot of the backend server. Further
+// requests would wait longer than is of use to their callers.
 const queuePerSlot = 4
 
-// Update takes over what is known of the backend server. Call it after each
-// change and about every 100 ms.
+// Update applies the current state of the backend server and the configuration of its
+// service. It must be called after each change and about every 100 ms.
 func (g *Gate) Update() {
 	l := core.Limits{Draining: true}
 	now := g.cfg.Now()
@@ -153,40 +154,41 @@
 		l.Connections = cmp.Or(service.Connections, i.Slots)
 		l.QueueLength = queuePerSlot * i.Slots
 		l.Cold = g.cfg.Cold(service.ColdPerSecond, i.WarmAt)
-		l.Draining = g.left(i, now) || g.cfg.Evacuated()
+		l.Draining = g.drainGraceOver(i, now) || g.cfg.Evacuated()
 	}
 	g.core.Update(l, now)
 	g.core.Tick(now)
 }
 
-// left reports whether the backend server takes no further requests.
-func (g *Gate) left(i *instance.Instance, now time.Time) bool {
+// drainGraceOver reports whether the backend server is draining and gets no further
+// requests.
+func (g *Gate) drainGraceOver(i *instance.Instance, now time.Time) bool {
 	return i.State != instance.Ready && now.Sub(i.DrainSince) >= g.cfg.DrainGrace
 }
 
-// withdrawn reports whether the backend server is of a version that gets nothing: an
-// entry node may not know it yet.
+// withdrawn reports whether the roll-out rejects the version of the backend server. The
+// gate checks this itself, as an entry node may not have learned of it yet.
 func (g *Gate) withdrawn(i *instance.Instance) bool {
 	return g.cfg.Routing().Of(i.Service).Rejects(i.Version)
 }
 
-// leaving reports whether a start of the backend server has said goodbye.
+// leaving reports whether an instance of the backend server has sent its goodbye.
 func (g *Gate) leaving(key string) bool {
 	i := g.cfg.Instance()
 	return i != nil && i.Key() == key && i.State != instance.Ready
 }
 
-// Restarted notes that another start of the backend server has registered than the one
-// with the key, which has said no goodbye.
+// Restarted records that a new instance of the backend server has registered although the
+// instance with the key has sent no goodbye.
 func (g *Gate) Restarted(key string) { g.crashes.Restarted(key) }
 
-// maxKept bounds a request's body that is read before anything is sent, in
-// bytes: a slow sender then holds no slot. Nodes send what they keep themselves
-// at once.
-const maxKept = 64 << 10
+// maxBufferedRequest is the largest request body that is read whole before the request is
+// admitted, in bytes. A slow sender then holds no slot. Other nodes send bodies that they
+// have buffered themselves without a delay.
+const maxBufferedRequest = 64 << 10
 
-// ServeHTTP implements http.Handler, for requests of other nodes. A response
-// that breaks off makes it panic with http.ErrAbortHandler.
+// ServeHTTP implements http.Handler, for requests of other nodes. It panics with
+// http.ErrAbortHandler if a response is truncated.
 func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.serving.Add(1)
 	defer g.serving.Add(-1)
@@ -196,7 +198,7 @@
 		delete(in.Header, "Expect") // reading the body sends 100 Continue
 		t := g.awaitTurn(r)
 		if t == nil {
-			_ = forward.Relay(w, g.refuse(in, outcome.ReasonQueueFull, false)) // the entry node has left
+			_ = forward.Relay(w, g.refuse(in, outcome.ReasonQueueFull, false)) // an error means that the entry node has gone
 			return
 		}
 		defer t.done()
@@ -207,30 +209,30 @@
 		serve = g.serveBulk
 	}
 	if err := serve(w, in); err != nil {
-		g.noteCut(r.Header, r.Header.Get(outcome.HeaderInstance), err)
+		g.logCut(r.Header, r.Header.Get(outcome.HeaderInstance), err)
 		stream.Detach(w)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// body returns the body to send on: whole where it is small, or else as a
-// stream. A small one that breaks off ends the connection; nothing was sent.
+// body returns the request body to send on: buffered if it is small, else as a stream. If a
+// small body is truncated, it aborts the connection; nothing was sent then.
 func (g *Gate) body(w http.ResponseWriter, r *http.Request) (io.ReadCloser, *forward.StreamBody) {
 	switch {
 	case r.ContentLength == 0:
 		return r.Body, nil
-	case r.ContentLength < 0 || r.ContentLength > maxKept || r.Header[outcome.HeaderAsked] != nil:
+	case r.ContentLength < 0 || r.ContentLength > maxBufferedRequest || r.Header[outcome.HeaderAsked] != nil:
 		stream := forward.NewStreamBody(w, r)
 		return stream, stream
 	}
-	kept := make([]byte, r.ContentLength)
-	if _, err := io.ReadFull(r.Body, kept); err != nil {
+	buffered := make([]byte, r.ContentLength)
+	if _, err := io.ReadFull(r.Body, buffered); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	return forward.NewKeptBody(kept), nil
+	return forward.NewKeptBody(buffered), nil
 }
 
-// serveSmall serves a request whose answer needs no pacing.
+// serveSmall serves a request whose response needs no pacing.
 func (g *Gate) serveSmall(w http.ResponseWriter, req *http.Request) error {
 	resp, err := g.RoundTrip(req)
 	if err != nil {
@@ -240,12 +242,12 @@
 	return relay(w, req, resp, nil)
 }
 
-// headBytes stands for the head of an answer, in bytes: the platform's and the
-// nodes' own headers are about so long.
+// headBytes is the estimated size of a response's head, in bytes. The headers of the
+// platform and of the nodes take about that much.
 const headBytes = 400
 
-// RoundTrip implements http.RoundTripper. Every failure is an answer with node
-// headers; the error is always nil. The response's body must be closed.
+// RoundTrip implements http.RoundTripper. It reports each failure as a response with node
+// headers; the error is always nil. The caller must close the response's body.
 func (g *Gate) RoundTrip(req *http.Request) (*http.Response, error) {
 	now := g.cfg.Now()
 	c, reason := g.check(req, now)
@@ -258,8 +260,8 @@
 	if reason != "" {
 		return g.refuse(req, reason, false), nil
 	}
-	// The backend server may have left while the request waited.
-	if i := g.cfg.Instance(); i == nil || i.Key() != c.instance.Key() || g.left(i, g.cfg.Now()) {
+	// The state of the backend server may have changed while the request was queued.
+	if i := g.cfg.Instance(); i == nil || i.Key() != c.instance.Key() || g.drainGraceOver(i, g.cfg.Now()) {
 		g.core.Release(c.Work, 0, g.cfg.Now())
 		return g.refuse(req, outcome.ReasonDraining, false), nil
 	}
@@ -275,7 +277,7 @@
 		g.core.Release(c.Work, 0, g.cfg.Now())
 		return g.refuse(req, outcome.ReasonUnproved, false), nil
 	}
-	if g.crashes.Quarantined(c.fingerprint) { // another backend server has crashed meanwhile
+	if g.crashes.Quarantined(c.fingerprint) { // a crash elsewhere may have caused a quarantine meanwhile
 		g.core.Release(c.Work, 0, g.cfg.Now())
 		return g.refuse(req, outcome.ReasonQuarantined, false), nil
 	}
--- a/transport/inbound/learn_test.go
+++ b/transport/inbound/learn_test.go
@@ -13,9 +13,10 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Entry nodes choose backend servers by what their work takes: a caller's delay is no part of it.
-func TestTimeInWhichNobodyReadsIsNotTheBackendServers(t *testing.T) {
-	g, i := newGate(t, attempt.NewRuns(), 0, withoutLength)
+// Entry nodes choose backend servers by their mean service time. The time in which a caller
+// doesn't read the response must not count towards it.
+func TestUnreadTimeIsNotServiceTime(t *testing.T) {
+	g, i := newGate(t, attempt.NewRuns(), 0, sendWithoutLength)
 	synctest.Test(t, func(t *testing.T) {
 		g.Update()
 		for range 20 {
--- a/transport/inbound/load.go
+++ b/transport/inbound/load.go
@@ -2,22 +2,23 @@
 
 import "net/http"
 
-// noteLoad keeps how slow the host is at this moment, as the backend server tells it
-// with a response.
-func (g *Gate) noteLoad(h http.Header) {
-	l, told, err := g.cfg.Dialect.Load(h)
+// recordLoad records the current slowness of the host, which the backend server reports in
+// the headers of a response.
+func (g *Gate) recordLoad(h http.Header) {
+	l, known, err := g.cfg.Dialect.Load(h)
 	switch {
 	case err != nil:
-		if g.unreadable.Get() == 0 { // one line tells enough: further answers will be alike
+		if g.unreadable.Get() == 0 { // log once only: further responses are likely to fail in the same way
 			_ = g.cfg.Logger.Log("event", "backend_load_unreadable", "err", err)
 		}
 		g.unreadable.Inc()
-	case told && l.Slowdown > 0:
+	case known && l.Slowdown > 0:
 		g.core.ReportSlowness(l.Slowdown, g.cfg.Now())
 	}
 }
 
-// slowdown returns how many times as long as usual work takes on the host at this moment.
+// slowdown returns the current slowness of the host: how many times as long as at its
+// baseline a request takes.
 func (g *Gate) slowdown() float64 {
 	return g.core.Slowdown(g.cfg.Now())
 }
--- a/transport/inbound/load_test.go
+++ b/transport/inbound/load_test.go
@@ -18,24 +18,25 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// loads is a dialect whose backend server tells what load says.
-type loads struct {
+// loadDialect is a dialect whose backend server reports the result of load.
+type loadDialect struct {
 	dialect.Dialect
 	load func() (dialect.Load, bool, error)
 }
 
-func (l loads) Load(dialect.Header) (dialect.Load, bool, error) { return l.load() }
+func (l loadDialect) Load(dialect.Header) (dialect.Load, bool, error) { return l.load() }
 
 var errUnreadable = errors.New("unreadable")
 
-// What the backend server tells of its host reaches other nodes with each answer while it
-// is true; what it doesn't tell, or tells in an odd form, changes nothing.
-func TestAnswersTellHowSlowTheHostIs(t *testing.T) {
+// The slowness that the backend server reports must be sent to other nodes with each
+// response until it is too old. A response that reports none, or one that can't be parsed,
+// must not change it.
+func TestResponsesCarryHostSlowdown(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var told dialect.Load
+	var reported dialect.Load
 	var err error
 	g := New(Config{
-		Dialect: loads{load: func() (dialect.Load, bool, error) { return told, err == nil, err }},
+		Dialect: loadDialect{load: func() (dialect.Load, bool, error) { return reported, err == nil, err }},
 		Backend: forward.NewClient(forward.ClientConfig{}),
 		Strain:  func(time.Time) attempt.BudgetUsage { return 0 },
 		Metrics: metrics.NewSet(),
@@ -45,21 +46,21 @@
 	g.core.Update(core.Limits{Slots: 4, Connections: 4}, now)
 	stamped := func() string {
 		h := http.Header{}
-		g.noteLoad(h)
+		g.recordLoad(h)
 		g.stamp(h)
 		_, parseErr := balance.ParseLoad(h.Get(outcome.HeaderLoad))
 		must.NoError(t, parseErr)
 		return h.Get(outcome.HeaderLoad)
 	}
-	told = dialect.Load{Running: 1, Slots: 4}
-	must.Eq(t, "0/4/0", stamped(), must.Sprint("no figure"))
-	told.Slowdown = 0.7
-	must.Eq(t, "0/4/0", stamped(), must.Sprint("its own speed"))
-	told.Slowdown = 1.75
+	reported = dialect.Load{Running: 1, Slots: 4}
+	must.Eq(t, "0/4/0", stamped(), must.Sprint("no slowness reported"))
+	reported.Slowdown = 0.7
+	must.Eq(t, "0/4/0", stamped(), must.Sprint("faster than its baseline"))
+	reported.Slowdown = 1.75
 	must.Eq(t, "0/4/0/0/250", stamped())
 	err = errUnreadable
-	must.Eq(t, "0/4/0/0/250", stamped(), must.Sprint("the newest that could be read"))
+	must.Eq(t, "0/4/0/0/250", stamped(), must.Sprint("the last valid report must stay"))
 	must.Eq(t, 1, g.unreadable.Get())
 	now = now.Add(time.Second)
-	must.Eq(t, "0/4/0", stamped(), must.Sprint("too old"))
+	must.Eq(t, "0/4/0", stamped(), must.Sprint("the report is too old"))
 }
--- a/transport/inbound/receive.go
+++ b/transport/inbound/receive.go
@@ -12,67 +12,71 @@
 )
 
 const (
-	// longestTurn is how long an upload's body is received alone: about what the largest take on a
-	// link of 10 Mbit/s. A sender that has stopped holds the others up no longer.
-	longestTurn = 300 * time.Millisecond
-	// turnPart is the part of the time until its answer is due that an upload may wait for its
-	// turn: the rest is for its body and the work.
-	turnPart = 2
-	// longestWait bounds that wait: an entry node sends the body unasked after a second.
-	longestWait = 800 * time.Millisecond
+	// maxTurn is how long an upload's body is received exclusively. The largest bodies take
+	// about this long on a link of 10 Mbit/s. The bound keeps a stalled sender from
+	// blocking the other uploads.
+	maxTurn = 300 * time.Millisecond
+	// turnWaitDivisor limits the wait for a turn to a fraction (1/turnWaitDivisor) of the
+	// time until the response is due. The rest is left for the body and the run.
+	turnWaitDivisor = 2
+	// maxTurnWait bounds that wait. An entry node sends the body without a 100 Continue
+	// after a second.
+	maxTurnWait = 800 * time.Millisecond
 )
 
-// turn is an upload's turn to be received. Bodies are received one after the other: all that is on its
-// way to a host waits on the same link, and several at a time delay every small request behind them
-// by more than their callers wait.
+// turn is the exclusive permission to receive the body of an upload. Bodies are received
+// one at a time, because all traffic to a host shares one link: several bodies at once
+// would delay each small request behind them by more than its caller waits.
 type turn struct {
-	ticket *pace.Reservation
-	end    func() // once
+	reservation *pace.Reservation
+	end         func() // frees the turn; further calls do nothing
 }
 
-// awaitTurn waits until an upload's body may be received. It returns nil where the bodies before it
-// take too long: at once where that is known, or when its time to wait is over.
+// awaitTurn waits until the body of an upload may be received. It returns nil if the bodies
+// before it take too long: at once if the backlog already shows it, else when the wait is
+// over.
 func (g *Gate) awaitTurn(r *http.Request) *turn {
 	now := g.cfg.Now()
 	u, err := outcome.ParseUrgency(r.Header.Get(outcome.HeaderUrgency))
 	if err != nil {
 		return nil
 	}
-	wait := min(u.Left/turnPart, longestWait)
-	ticket, _, ok := g.cfg.Uploads.Reserve(now, wait)
+	wait := min(u.Left/turnWaitDivisor, maxTurnWait)
+	reservation, _, ok := g.cfg.Uploads.Reserve(now, wait)
 	if !ok {
 		return nil
 	}
 	if r.ContentLength >= 0 {
-		ticket.SetSize(float64(r.ContentLength))
+		reservation.SetSize(float64(r.ContentLength))
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
 	select {
-	case g.receiving <- struct{}{}: // also where there is no time to wait
+	case g.receiving <- struct{}{}: // succeeds even if the wait is zero
 	default:
 		select {
 		case g.receiving <- struct{}{}:
 		case <-ctx.Done():
-			ticket.Done()
+			reservation.Done()
 			return nil
 		}
 	}
-	t := &turn{ticket: ticket, end: sync.OnceFunc(func() { <-g.receiving })}
-	time.AfterFunc(longestTurn, t.end)
+	t := &turn{reservation: reservation, end: sync.OnceFunc(func() { <-g.receiving })}
+	time.AfterFunc(maxTurn, t.end)
 	return t
 }
 
-// done ends the turn, and gives back what was not received.
+// done ends the turn and returns the part of the reservation that was not received.
 func (t *turn) done() {
-	t.ticket.Done()
+	t.reservation.Done()
 	t.end()
 }
 
-// follow ends the turn with the body.
+// follow counts the bytes of body as they are received, and ends the turn when the body
+// ends.
 func (t *turn) follow(body *forward.StreamBody, now func() time.Time) {
 	body.OnRead(func(bytes int, ended bool) {
-		t.ticket.Piece(now(), bytes)
+		t.reservation.Piece(now(), bytes)
 		if ended {
 			t.end()
 		}
--- a/transport/inbound/repeat_test.go
+++ b/transport/inbound/repeat_test.go
@@ -22,17 +22,20 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// plain is a dialect in which every answer is the backend server's own.
-type plain struct{ dialect.Dialect }
+// plainDialect is a dialect in which the backend server has run each request that it
+// responds to.
+type plainDialect struct{ dialect.Dialect }
 
-// Load implements dialect.Dialect: the backend server tells nothing.
-func (plain) Load(dialect.Header) (dialect.Load, bool, error) { return dialect.Load{}, false, nil }
+// Load implements dialect.Dialect: the backend server reports no load.
+func (plainDialect) Load(dialect.Header) (dialect.Load, bool, error) {
+	return dialect.Load{}, false, nil
+}
 
-func (plain) RequestID(dialect.Header) string           { return "id" }
-func (plain) Mark(dialect.Header, dialect.Marks)        {}
-func (plain) Judge(int, dialect.Header) dialect.Verdict { return dialect.Ran }
+func (plainDialect) RequestID(dialect.Header) string           { return "id" }
+func (plainDialect) Mark(dialect.Header, dialect.Marks)        {}
+func (plainDialect) Judge(int, dialect.Header) dialect.Verdict { return dialect.Ran }
 
-// newGate returns a gate in front of a backend server.
+// newGate returns a gate in front of a backend server that runs h.
 func newGate(t *testing.T, runs *attempt.Runs, strain attempt.BudgetUsage, h http.HandlerFunc) (*Gate, *instance.Instance) {
 	t.Helper()
 	backend := httptest.NewServer(h)
@@ -48,7 +51,7 @@
 		Cold:        func(float64, time.Time) core.ColdLimits { return core.ColdLimits{} },
 		ColdUnknown: func() bool { return false },
 		Evacuated:   func() bool { return false },
-		Dialect:     plain{},
+		Dialect:     plainDialect{},
 		Backend:     forward.NewClient(forward.DefaultClientConfig()),
 		Lane:        pace.New(pace.DefaultConfig(1e6)),
 		Uploads:     pace.New(pace.DefaultConfig(1e6)),
@@ -68,13 +71,13 @@
 	return g, i
 }
 
-func TestRepeatedRunIsKnownWhileItLasts(t *testing.T) {
+func TestRepeatIsRegisteredWhileItRuns(t *testing.T) {
 	for _, repeat := range []bool{true, false} {
 		runs := attempt.NewRuns()
 		until := time.Now().Add(5 * time.Second)
-		during, told := false, ""
+		registered, header := false, ""
 		g, i := newGate(t, runs, 0.123, func(_ http.ResponseWriter, r *http.Request) {
-			during, told = runs.Call(until), r.Header.Get(outcome.HeaderRepeat)
+			registered, header = runs.Call(until), r.Header.Get(outcome.HeaderRepeat)
 		})
 		r := httptest.NewRequest(http.MethodGet, "http://h/x", nil)
 		r.Header.Set(outcome.HeaderService, "s")
@@ -87,8 +90,8 @@
 		w := httptest.NewRecorder()
 		g.ServeHTTP(w, r)
 		must.Eq(t, http.StatusOK, w.Code)
-		must.Eq(t, repeat, during)
-		must.Eq(t, "", told, must.Sprint("the backend server isn't told"))
+		must.Eq(t, repeat, registered)
+		must.Eq(t, "", header, must.Sprint("the backend server must not get the header"))
 		must.False(t, runs.Call(until))
 		must.Eq(t, "13", w.Header().Get(outcome.HeaderStrain))
 	}
--- a/transport/inbound/send.go
+++ b/transport/inbound/send.go
@@ -12,7 +12,8 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// send sends the request to the backend server. The request holds a slot.
+// send sends an admitted request to the backend server. The request's slot is released when
+// the response ends.
 func (g *Gate) send(req *http.Request, c call) *http.Response {
 	started := g.cfg.Now()
 	ctx, cancel := context.WithDeadline(req.Context(), c.Deadline.Add(g.cfg.AnswerGrace))
@@ -34,9 +35,9 @@
 		Organisation:  organisation,
 	})
 	slowdown := g.slowdown()
-	done := func(took time.Duration) {
+	done := func(serviceTime time.Duration) {
 		cancel()
-		g.core.ReleaseSlowed(c.Work, took, slowdown, g.cfg.Now())
+		g.core.ReleaseSlowed(c.Work, serviceTime, slowdown, g.cfg.Now())
 		if repeat {
 			g.cfg.Runs.End(c.Deadline)
 		}
@@ -46,12 +47,12 @@
 		done(0)
 		return g.failed(req, c, started, err)
 	}
-	g.noteLoad(resp.Header)
+	g.recordLoad(resp.Header)
 	return g.judge(ctx, req, c, resp, started, done)
 }
 
-// judge reads the backend server's response. It holds the slot until the body, or ctx,
-// has ended.
+// judge classifies the backend server's response and returns the one for the entry node.
+// For a response to a request that ran, the slot is held until the body or ctx ends.
 func (g *Gate) judge(ctx context.Context, req *http.Request, c call, resp *http.Response, started time.Time, done func(time.Duration)) *http.Response {
 	switch g.cfg.Dialect.Judge(resp.StatusCode, resp.Header) {
 	case dialect.Ran:
@@ -59,26 +60,26 @@
 		forward.StripNodeHeaders(h)
 		h[outcome.HeaderOutcome] = []string{string(outcome.Answered)}
 		h[outcome.HeaderReached] = reachedValue
-		bodyless := resp.Body == http.NoBody
-		body := &slotBody{ReadCloser: resp.Body, ctx: ctx, left: resp.ContentLength, took: g.cfg.Now().Sub(started), now: g.cfg.Now}
-		body.done = func(took time.Duration, how bodyEnd) {
-			done(took)
-			g.bodyEnded(req, c, started, took, resp.StatusCode, how)
+		noBody := resp.Body == http.NoBody
+		body := &slotBody{ReadCloser: resp.Body, ctx: ctx, remaining: resp.ContentLength, serviceTime: g.cfg.Now().Sub(started), now: g.cfg.Now}
+		body.done = func(serviceTime time.Duration, how bodyEnd) {
+			done(serviceTime)
+			g.recordBodyEnd(req, c, started, serviceTime, resp.StatusCode, how)
 		}
-		if !bodyless {
+		if !noBody {
 			body.watch()
 		}
 		resp.Body = body
-		if c.Work.Kind == model.KindBulk && !bodyless {
-			if err := g.holdWhole(resp); err != nil {
-				cut := &CutError{Received: resp.ContentLength - body.left, Length: resp.ContentLength, Err: &forward.TruncatedError{Err: err}}
-				g.noteCut(req.Header, c.instance.Key(), cut)
+		if c.Work.Kind == model.KindBulk && !noBody {
+			if err := g.bufferResponse(resp); err != nil {
+				cut := &CutError{Received: resp.ContentLength - body.remaining, Length: resp.ContentLength, Err: &forward.TruncatedError{Err: err}}
+				g.logCut(req.Header, c.instance.Key(), cut)
 				return g.unknown(req, outcome.ReasonBackendFailed)
 			}
 		}
 		g.stamp(h)
-		if typical := g.core.Typical(c.Work); typical > 0 {
-			h[outcome.HeaderTypical] = []string{strconv.FormatInt(typical.Microseconds(), 10)}
+		if meanServiceTime := g.core.Typical(c.Work); meanServiceTime > 0 {
+			h[outcome.HeaderTypical] = []string{strconv.FormatInt(meanServiceTime.Microseconds(), 10)}
 		}
 		return resp
 	case dialect.Misdirected:
@@ -92,13 +93,14 @@
 		g.crashes.Alive(c.run(started))
 		return g.refuse(req, outcome.ReasonBackendRefused, true)
 	default:
-		_ = resp.Body.Close() // what it holds is of no use
+		_ = resp.Body.Close() // the outcome is unknown whatever the body contains
 		done(0)
 		return g.unknown(req, outcome.ReasonBackendFailed)
 	}
 }
 
-// failed answers a request that got no response.
+// failed returns the response to a request that got none from the backend server, and
+// records the failure.
 func (g *Gate) failed(req *http.Request, c call, started time.Time, err error) *http.Response {
 	sent := wasSent(err)
 	if !sent && req.Context().Err() == nil {
--- a/transport/inbound/stuck_test.go
+++ b/transport/inbound/stuck_test.go
@@ -15,42 +15,45 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// stopped is a caller that takes nothing until it is let go.
-type stopped struct {
+// stalledWriter is the response writer of a caller that reads nothing. Write blocks until
+// gone is closed or the write deadline passes.
+type stalledWriter struct {
 	*httptest.ResponseRecorder
-	gone, late chan struct{}
+	gone, expired chan struct{}
 }
 
-func newStopped(gone chan struct{}) stopped {
-	return stopped{httptest.NewRecorder(), gone, make(chan struct{})}
+func newStalledWriter(gone chan struct{}) stalledWriter {
+	return stalledWriter{httptest.NewRecorder(), gone, make(chan struct{})}
 }
 
 // Write implements http.ResponseWriter.
-func (s stopped) Write([]byte) (int, error) {
+func (s stalledWriter) Write([]byte) (int, error) {
 	select {
 	case <-s.gone:
 		return 0, io.ErrClosedPipe
-	case <-s.late:
+	case <-s.expired:
 		return 0, os.ErrDeadlineExceeded
 	}
 }
 
-// SetWriteDeadline implements what http.ResponseController looks for, once.
-func (s stopped) SetWriteDeadline(at time.Time) error {
-	time.AfterFunc(time.Until(at), func() { close(s.late) })
+// SetWriteDeadline implements the method that http.ResponseController calls. It can be
+// called once only.
+func (s stalledWriter) SetWriteDeadline(at time.Time) error {
+	time.AfterFunc(time.Until(at), func() { close(s.expired) })
 	return nil
 }
 
-// withoutLength sends an answer of 256 KB without a length, in two parts.
-func withoutLength(w http.ResponseWriter, _ *http.Request) {
+// sendWithoutLength sends a response of 256 KB without a Content-Length, in two parts.
+func sendWithoutLength(w http.ResponseWriter, _ *http.Request) {
 	_, _ = w.Write(make([]byte, 128<<10))
 	_ = http.NewResponseController(w).Flush()
 	_, _ = w.Write(make([]byte, 128<<10))
 }
 
-// A run that has ended must not hold its slot for an entry node that waits for its turn.
-func TestSlotIsFreeAfterTheDeadlineOfAnAnswerThatNobodyReads(t *testing.T) {
-	g, i := newGate(t, attempt.NewRuns(), 0, withoutLength)
+// Guards against a run that has ended but holds its slot because the entry node delays
+// reading the response.
+func TestSlotIsReleasedAtDeadlineOfUnreadResponse(t *testing.T) {
+	g, i := newGate(t, attempt.NewRuns(), 0, sendWithoutLength)
 	synctest.Test(t, func(t *testing.T) {
 		g.Update()
 		resp, err := g.RoundTrip(requestTo(i, model.KindInteractive))
@@ -63,15 +66,15 @@
 	})
 }
 
-func TestSlotIsFreeAfterTheDeadlineOfACallerThatTakesNothing(t *testing.T) {
-	g, i := newGate(t, attempt.NewRuns(), 0, withoutLength)
+func TestSlotIsReleasedAtDeadlineOfStalledCaller(t *testing.T) {
+	g, i := newGate(t, attempt.NewRuns(), 0, sendWithoutLength)
 	synctest.Test(t, func(t *testing.T) {
 		g.Update()
 		gone := make(chan struct{})
 		defer close(gone)
 		go func() {
 			defer func() { _ = recover() }() // the handler aborts
-			g.ServeHTTP(newStopped(gone), requestTo(i, model.KindInteractive))
+			g.ServeHTTP(newStalledWriter(gone), requestTo(i, model.KindInteractive))
 		}()
 		time.Sleep(6 * time.Second)
 		synctest.Wait()
@@ -79,21 +82,22 @@
 	})
 }
 
-// Callers that take nothing must not keep large answers from others after their deadline.
-func TestCallersThatTakeNothingHoldUpNoOtherLargeAnswer(t *testing.T) {
+// Guards against callers that read nothing and so block the large responses of others after
+// their own deadline.
+func TestStalledCallersDoNotBlockOtherLargeResponses(t *testing.T) {
 	g, i := newGate(t, attempt.NewRuns(), 0, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "65536")
 		_, _ = w.Write(make([]byte, 64<<10))
 	})
 	synctest.Test(t, func(t *testing.T) {
 		g.Update()
-		g.sending = make(chan struct{}, maxSending)
+		g.sending = make(chan struct{}, maxConcurrentSends)
 		gone := make(chan struct{})
 		defer close(gone)
-		for range maxSending {
+		for range maxConcurrentSends {
 			go func() {
 				defer func() { _ = recover() }() // the handler aborts
-				g.ServeHTTP(newStopped(gone), requestTo(i, model.KindBulk))
+				g.ServeHTTP(newStalledWriter(gone), requestTo(i, model.KindBulk))
 			}()
 		}
 		time.Sleep(6 * time.Second)
--- a/transport/inbound/unread_test.go
+++ b/transport/inbound/unread_test.go
@@ -15,15 +15,16 @@
 	"github.com/jacinthgate/jacinthgate/transport/transporttest"
 )
 
-// A refused request whose body was not read must not end the connection under the next one.
+// A request that is refused before its body was read must not break the connection for the
+// next request.
 func TestRefusedBodyDoesNotEndTheConnectionOfTheNextRequest(t *testing.T) {
 	g, _ := newGate(t, attempt.NewRuns(), 0, nil)
 	synctest.Test(t, func(t *testing.T) {
 		entry, accepted := net.Pipe()
 		defer entry.Close()
 		_ = (&http.Server{Handler: g}).Serve(transporttest.SingleListener(accepted))
-		answers := bufio.NewReader(entry)
-		body := strings.Repeat("x", maxKept+1)
+		responses := bufio.NewReader(entry)
+		body := strings.Repeat("x", maxBufferedRequest+1)
 		for _, request := range []string{
 			"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + body + "\r\n0\r\n\r\n",
 			"GET / HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -33,7 +34,7 @@
 				_, err := io.WriteString(entry, request)
 				sent <- err
 			}()
-			resp, err := http.ReadResponse(answers, nil)
+			resp, err := http.ReadResponse(responses, nil)
 			must.NoError(t, err)
 			_, err = io.Copy(io.Discard, resp.Body)
 			must.NoError(t, err)
