--- a/transport/inbound/answer.go
+++ b/transport/inbound/answer.go
@@ -10,8 +10,8 @@
 	"github.com/jacinthgate/jacinthgate/protocol/outcome"
 )
 
-// refuse returns the response to a request that was not run. reached says that the request
-// reached the backend server.
+// refuse returns the response to a request that was not run. reached reports whether the
+// request reached the backend server.
 func (g *Gate) refuse(req *http.Request, reason outcome.Reason, reached bool) *http.Response {
 	g.counter(reason).Inc()
 	return g.response(req, http.StatusServiceUnavailable, outcome.NotRun, reason, reached)
@@ -51,8 +51,8 @@
 	return c
 }
 
-// stamp sets the headers that report the load of the backend server and the host's budget
-// usage. Every response carries them.
+// stamp sets the header with the load of the backend server, which every response carries,
+// and the one with the host's budget usage if there is any.
 func (g *Gate) stamp(h http.Header) {
 	l := g.core.Load()
 	load := balance.Load{Used: l.Used, Slots: max(1, l.Slots), Queued: l.Queued, MeanServiceTime: g.core.MeanServiceTime(), Slowdown: g.slowdown()}
--- a/transport/inbound/bulk.go
+++ b/transport/inbound/bulk.go
@@ -121,8 +121,7 @@
 	release func()
 }
 
-// Close implements io.Closer. Only the code that relays the response calls it, so it needs
-// no lock.
+// Close implements io.Closer. It is called once, by the code that relays the response.
 func (b *bufferedBody) Close() error {
 	if b.release != nil {
 		b.release()
--- a/transport/inbound/cut_test.go
+++ b/transport/inbound/cut_test.go
@@ -50,8 +50,8 @@
 		aborts  bool
 		cause   string
 	}{
-		"relayed":     {sendTruncated, model.KindInteractive, httptest.NewRecorder(), true, "response cut short: unexpected EOF"},
-		"buffered":    {sendTruncated, model.KindBulk, httptest.NewRecorder(), false, "response cut short: unexpected EOF"},
+		"passed on":   {sendTruncated, model.KindInteractive, httptest.NewRecorder(), true, "response cut short: unexpected EOF"},
+		"held whole":  {sendTruncated, model.KindBulk, httptest.NewRecorder(), false, "response cut short: unexpected EOF"},
 		"caller gone": {func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "part") }, model.KindInteractive, brokenWriter{httptest.NewRecorder()}, true, "caller went away: gone"},
 	} {
 		g, i := newGate(t, attempt.NewRuns(), 0, c.handler)
--- a/transport/inbound/gate.go
+++ b/transport/inbound/gate.go
@@ -52,8 +52,8 @@
 	Dialect dialect.Dialect
 	// Backend sends requests to the backend server.
 	Backend *forward.Client
-	// Lane paces large responses to other nodes. Uploads schedules the bodies of uploads
-	// from them.
+	// Lane paces large responses to other nodes. Uploads admits the bodies of uploads from
+	// them according to the backlog.
 	Lane, Uploads *pace.Shaper
 	// DrainGrace is how long a draining backend server still gets requests, as other nodes
 	// may have sent them before they learned of the drain.
--- a/transport/inbound/load_test.go
+++ b/transport/inbound/load_test.go
@@ -55,7 +55,7 @@
 	reported = dialect.Load{Running: 1, Slots: 4}
 	must.Eq(t, "0/4/0", stamped(), must.Sprint("no slowness reported"))
 	reported.Slowdown = 0.7
-	must.Eq(t, "0/4/0", stamped(), must.Sprint("faster than its baseline"))
+	must.Eq(t, "0/4/0", stamped(), must.Sprint("the first report sets the baseline"))
 	reported.Slowdown = 1.75
 	must.Eq(t, "0/4/0/0/250", stamped())
 	err = errUnreadable
