--- a/transport/crash/crash.go
+++ b/transport/crash/crash.go
@@ -47,8 +47,8 @@
 	Succeeded func(suspect.Fingerprint)
 	// Reach opens a connection to the backend server and closes it again.
 	Reach func(ctx context.Context, addr string) error
-	// Gone is called when a probe finds that the backend server refuses connections.
-	Gone func(instance string)
+	// Unreachable is called when a probe finds that the backend server refuses connections.
+	Unreachable func(instance string)
 	// Leaving reports whether an instance of the backend server has sent its goodbye.
 	Leaving func(instance string) bool
 	// Crashes counts the crashes.
@@ -132,14 +132,14 @@
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// Left records a run that its caller or this node abandoned.
-func (o *Observer) Left(r Run) {
+// Abandoned records a run that its caller or this node has stopped waiting for.
+func (o *Observer) Abandoned(r Run) {
 	o.watch.RecordUnanswered(o.cfg.Now(), r.Instance, r.Fingerprint, quarantine.Abandoned)
 }
 
-// Broken records a run whose connection the backend server closed. Unless the run belongs
-// to a crash already detected, it schedules a probe.
-func (o *Observer) Broken(r Run) {
+// ConnectionLost records a run whose connection the backend server closed. Unless the run
+// belongs to a crash already detected, it schedules a probe.
+func (o *Observer) ConnectionLost(r Run) {
 	crash, known := o.watch.RecordUnanswered(o.cfg.Now(), r.Instance, r.Fingerprint, quarantine.ConnectionLost)
 	switch {
 	case known:
@@ -177,7 +177,7 @@
 		o.watch.Alive(began, r.Instance)
 	case errors.Is(err, syscall.ECONNREFUSED):
 		o.ended(r.Instance)
-		o.cfg.Gone(r.Instance)
+		o.cfg.Unreachable(r.Instance)
 	default:
 		_ = o.cfg.Logger.Log("event", "backend_not_probed", "instance", r.Instance, "err", err)
 	}
--- a/transport/crash/crash_test.go
+++ b/transport/crash/crash_test.go
@@ -46,11 +46,11 @@
 			s.probes++
 			return s.reachErr
 		},
-		Gone:    func(string) { s.gone++ },
-		Leaving: func(string) bool { return s.leaving },
-		Crashes: metrics.NewSet().NewCounter("c"),
-		Logger:  log.NewNopLogger(),
-		Now:     time.Now,
+		Unreachable: func(string) { s.gone++ },
+		Leaving:     func(string) bool { return s.leaving },
+		Crashes:     metrics.NewSet().NewCounter("c"),
+		Logger:      log.NewNopLogger(),
+		Now:         time.Now,
 	})
 	return s
 }
@@ -69,7 +69,7 @@
 		s := newFixture()
 		s.reachErr = errRefused
 		for f := range suspect.Fingerprint(3) {
-			s.Broken(run(f + 1))
+			s.ConnectionLost(run(f + 1))
 		}
 		time.Sleep(probeDelay)
 		synctest.Wait()
@@ -86,10 +86,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFixture()
 		s.reachErr = errRefused
-		s.Broken(run(1))
+		s.ConnectionLost(run(1))
 		s.Unsent(run(2), errRefused)
 		must.Eq(t, []suspect.Fingerprint{1}, s.evidence)
-		s.Broken(run(3))
+		s.ConnectionLost(run(3))
 		must.Eq(t, []suspect.Fingerprint{1, 3}, s.evidence)
 		must.Eq(t, s.crashes[0], s.crashes[1])
 		time.Sleep(time.Second)
@@ -114,7 +114,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newFixture()
 				s.reachErr = tc.reachErr
-				s.Broken(run(1))
+				s.ConnectionLost(run(1))
 				time.Sleep(time.Millisecond)
 				tc.alive(s)
 				time.Sleep(time.Second)
@@ -132,7 +132,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFixture()
 		for range 1000 {
-			s.Broken(run(1))
+			s.ConnectionLost(run(1))
 			time.Sleep(5 * time.Millisecond)
 		}
 		synctest.Wait()
@@ -145,7 +145,7 @@
 func TestNewInstanceRevealsACrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFixture()
-		s.Broken(run(1))
+		s.ConnectionLost(run(1))
 		s.Restarted("another")
 		must.Len(t, 0, s.evidence)
 		s.Restarted("a")
@@ -159,7 +159,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFixture()
 		s.leaving = true
-		s.Broken(run(1))
+		s.ConnectionLost(run(1))
 		s.Unsent(run(2), errRefused)
 		must.Len(t, 0, s.evidence)
 	})
--- a/transport/gate/forward.go
+++ b/transport/gate/forward.go
@@ -74,10 +74,10 @@
 	case !sent:
 		return g.notRun(reasonOf(ctx, r), "given up before the request was sent")
 	case ctx.Err() != nil:
-		g.crashes.Left(c.run)
+		g.crashes.Abandoned(c.run)
 		return forward.Unknown(reasonOf(ctx, r), "given up while the request ran")
 	default:
-		g.crashes.Broken(c.run)
+		g.crashes.ConnectionLost(c.run)
 		return forward.Unknown(outcome.ReasonBackendFailed, "the connection to the backend server broke")
 	}
 }
@@ -103,9 +103,9 @@
 	}
 	var cut *forward.TruncatedError
 	if errors.As(err, &cut) && ctx.Err() == nil {
-		g.crashes.Broken(c.run)
+		g.crashes.ConnectionLost(c.run)
 	} else {
-		g.crashes.Left(c.run)
+		g.crashes.Abandoned(c.run)
 	}
 	if cut != nil {
 		g.truncated.Inc()
--- a/transport/gate/gate.go
+++ b/transport/gate/gate.go
@@ -105,15 +105,15 @@
 	g := &Gate{cfg: cfg, core: core.New()}
 	g.registerMetrics()
 	g.crashes = crash.New(crash.Config{
-		Suspects:  cfg.Suspects,
-		Crashed:   cfg.Crashed,
-		Succeeded: cfg.Succeeded,
-		Reach:     forward.Reach,
-		Gone:      func(string) {}, // nothing to do: its announcement expires
-		Leaving:   func(instance string) bool { a := g.cfg.Announcement(); return a.Draining && instanceOf(a) == instance },
-		Crashes:   cfg.Metrics.GetOrCreateCounter("jacinthgate_gate_backend_crashes_total"),
-		Logger:    cfg.Logger,
-		Now:       cfg.Now,
+		Suspects:    cfg.Suspects,
+		Crashed:     cfg.Crashed,
+		Succeeded:   cfg.Succeeded,
+		Reach:       forward.Reach,
+		Unreachable: func(string) {}, // nothing to do: its announcement expires
+		Leaving:     func(instance string) bool { a := g.cfg.Announcement(); return a.Draining && instanceOf(a) == instance },
+		Crashes:     cfg.Metrics.GetOrCreateCounter("jacinthgate_gate_backend_crashes_total"),
+		Logger:      cfg.Logger,
+		Now:         cfg.Now,
 	})
 	return g
 }
--- a/transport/inbound/answer.go
+++ b/transport/inbound/answer.go
@@ -57,7 +57,7 @@
 	l := g.core.Load()
 	load := balance.Load{Used: l.Used, Slots: max(1, l.Slots), Queued: l.Queued, MeanServiceTime: g.core.MeanServiceTime(), Slowdown: g.slowdown()}
 	h[outcome.HeaderLoad] = []string{load.String()}
-	if s := g.cfg.Strain(g.cfg.Now()); s > 0 {
+	if s := g.cfg.BudgetUsage(g.cfg.Now()); s > 0 {
 		h[outcome.HeaderStrain] = []string{strconv.Itoa(s.Percent())}
 	}
 }
--- a/transport/inbound/body.go
+++ b/transport/inbound/body.go
@@ -137,8 +137,8 @@
 	case how == bodyComplete:
 		g.crashes.Answered(c.run(sent), status)
 	case broken:
-		g.crashes.Broken(c.run(sent))
+		g.crashes.ConnectionLost(c.run(sent))
 	default:
-		g.crashes.Left(c.run(sent))
+		g.crashes.Abandoned(c.run(sent))
 	}
 }
--- a/transport/inbound/bulk.go
+++ b/transport/inbound/bulk.go
@@ -41,7 +41,7 @@
 		return forward.Relay(w, g.refuse(req, outcome.ReasonMalformed, false))
 	}
 	sendBy := g.cfg.Now().Add(time.Duration(left)*time.Millisecond + sendGrace)
-	reservation, backlog, ok := g.cfg.Lane.Reserve(g.cfg.Now(), time.Duration(wait)*time.Millisecond)
+	reservation, backlog, ok := g.cfg.ResponseShaper.Reserve(g.cfg.Now(), time.Duration(wait)*time.Millisecond)
 	if !ok {
 		return forward.Relay(w, g.refuseLinkFull(req, backlog))
 	}
@@ -69,7 +69,7 @@
 func (g *Gate) relayPaced(w http.ResponseWriter, req *http.Request, resp *http.Response, t *pace.Reservation, sendBy time.Time) error {
 	size := resp.ContentLength
 	if size >= 0 && size <= forward.PieceBytes {
-		g.cfg.Lane.CountSmall(g.cfg.Now(), size)
+		g.cfg.ResponseShaper.CountSmall(g.cfg.Now(), size)
 		return relay(w, req, resp, nil)
 	}
 	if size > 0 {
--- a/transport/inbound/forms_test.go
+++ b/transport/inbound/forms_test.go
@@ -124,7 +124,7 @@
 	toBackend.Foreign = func(_ *http.Request, resp *http.Response) bool { return resp.Header["X-Late"] != nil }
 	g.cfg.Backend = forward.NewClient(toBackend)
 	defer g.cfg.Backend.CloseIdleConnections()
-	g.cfg.Lane = pace.New(pace.DefaultConfig(1e9))
+	g.cfg.ResponseShaper = pace.New(pace.DefaultConfig(1e9))
 	server := httptest.NewUnstartedServer(g)
 	server.Listener = headpack.Listener{Listener: server.Listener}
 	server.Start()
--- a/transport/inbound/gate.go
+++ b/transport/inbound/gate.go
@@ -52,9 +52,9 @@
 	Dialect dialect.Dialect
 	// Backend sends requests to the backend server.
 	Backend *forward.Client
-	// Lane paces large responses to other nodes. Uploads admits the bodies of uploads from
-	// them according to the backlog.
-	Lane, Uploads *pace.Shaper
+	// ResponseShaper paces large responses to other nodes. UploadShaper admits the bodies
+	// of uploads from them according to the backlog.
+	ResponseShaper, UploadShaper *pace.Shaper
 	// DrainGrace is how long a draining backend server still gets requests, as other nodes
 	// may have sent them before they learned of the drain.
 	DrainGrace time.Duration
@@ -63,8 +63,8 @@
 	AnswerGrace time.Duration
 	// Runs registers the runs of retries.
 	Runs *attempt.Runs
-	// Strain returns the usage of the retry budget by the nested calls of those runs.
-	Strain func(now time.Time) attempt.BudgetUsage
+	// BudgetUsage returns the usage of the retry budget by the nested calls of those runs.
+	BudgetUsage func(now time.Time) attempt.BudgetUsage
 	// Suspects, Crashed and Succeeded are those of crash.Config.
 	Suspects  func() *suspect.View
 	Crashed   func(suspect.Crash, []suspect.Fingerprint)
@@ -114,22 +114,22 @@
 	}
 	g := &Gate{cfg: cfg, core: core.New(), sending: make(chan struct{}, maxConcurrentSends), receiving: make(chan struct{}, 1)}
 	g.crashes = crash.New(crash.Config{
-		Suspects:  cfg.Suspects,
-		Crashed:   cfg.Crashed,
-		Succeeded: cfg.Succeeded,
-		Reach:     cfg.Backend.Reach,
-		Gone:      cfg.Unreachable,
-		Leaving:   g.leaving,
-		Crashes:   cfg.Metrics.GetOrCreateCounter("jacinthgate_inbound_backend_crashes_total"),
-		Logger:    cfg.Logger,
-		Now:       cfg.Now,
+		Suspects:    cfg.Suspects,
+		Crashed:     cfg.Crashed,
+		Succeeded:   cfg.Succeeded,
+		Reach:       cfg.Backend.Reach,
+		Unreachable: cfg.Unreachable,
+		Leaving:     g.leaving,
+		Crashes:     cfg.Metrics.GetOrCreateCounter("jacinthgate_inbound_backend_crashes_total"),
+		Logger:      cfg.Logger,
+		Now:         cfg.Now,
 	})
 	g.unreadable = cfg.Metrics.GetOrCreateCounter("jacinthgate_inbound_loads_unreadable_total")
 	cfg.Metrics.GetOrCreateGauge("jacinthgate_inbound_host_slowdown", g.slowdown)
 	cfg.Metrics.GetOrCreateGauge("jacinthgate_inbound_slots_used", func() float64 { return float64(g.core.Load().Used) })
 	cfg.Metrics.GetOrCreateGauge("jacinthgate_inbound_slots", func() float64 { return float64(g.core.Load().Slots) })
 	cfg.Metrics.GetOrCreateGauge("jacinthgate_inbound_queued", func() float64 { return float64(g.core.Load().Queued) })
-	cfg.Metrics.GetOrCreateGauge("jacinthgate_inbound_link_backlog_seconds", func() float64 { return cfg.Lane.Backlog(cfg.Now()).Seconds() })
+	cfg.Metrics.GetOrCreateGauge("jacinthgate_inbound_link_backlog_seconds", func() float64 { return cfg.ResponseShaper.Backlog(cfg.Now()).Seconds() })
 	return g
 }
 
@@ -238,7 +238,7 @@
 	if err != nil {
 		return err
 	}
-	g.cfg.Lane.CountSmall(g.cfg.Now(), headBytes+max(0, resp.ContentLength))
+	g.cfg.ResponseShaper.CountSmall(g.cfg.Now(), headBytes+max(0, resp.ContentLength))
 	return relay(w, req, resp, nil)
 }
 
--- a/transport/inbound/load_test.go
+++ b/transport/inbound/load_test.go
@@ -36,12 +36,12 @@
 	var reported dialect.Load
 	var err error
 	g := New(Config{
-		Dialect: loadDialect{load: func() (dialect.Load, bool, error) { return reported, err == nil, err }},
-		Backend: forward.NewClient(forward.ClientConfig{}),
-		Strain:  func(time.Time) attempt.BudgetUsage { return 0 },
-		Metrics: metrics.NewSet(),
-		Logger:  log.NewNopLogger(),
-		Now:     func() time.Time { return now },
+		Dialect:     loadDialect{load: func() (dialect.Load, bool, error) { return reported, err == nil, err }},
+		Backend:     forward.NewClient(forward.ClientConfig{}),
+		BudgetUsage: func(time.Time) attempt.BudgetUsage { return 0 },
+		Metrics:     metrics.NewSet(),
+		Logger:      log.NewNopLogger(),
+		Now:         func() time.Time { return now },
 	})
 	g.core.Update(core.Limits{Slots: 4, Connections: 4}, now)
 	stamped := func() string {
--- a/transport/inbound/receive.go
+++ b/transport/inbound/receive.go
@@ -42,7 +42,7 @@
 		return nil
 	}
 	wait := min(u.Left/turnWaitDivisor, maxTurnWait)
-	reservation, _, ok := g.cfg.Uploads.Reserve(now, wait)
+	reservation, _, ok := g.cfg.UploadShaper.Reserve(now, wait)
 	if !ok {
 		return nil
 	}
--- a/transport/inbound/receive_test.go
+++ b/transport/inbound/receive_test.go
@@ -76,7 +76,7 @@
 // time.
 func TestUploadIsRefusedAtOnceIfLinkBacklogIsTooLong(t *testing.T) {
 	g, addr, instance := newUploadGate(t)
-	reservation, _, ok := g.cfg.Uploads.Reserve(time.Now(), 0)
+	reservation, _, ok := g.cfg.UploadShaper.Reserve(time.Now(), 0)
 	must.True(t, ok)
 	reservation.SetSize(1 << 20) // more than ten seconds on a link of 1 Mbit/s
 	_, br := sendUploadHead(t, addr, instance, 4)
--- a/transport/inbound/send.go
+++ b/transport/inbound/send.go
@@ -121,12 +121,12 @@
 		return g.refuse(req, reason, false)
 	case reason == outcome.ReasonBackendFailed:
 		g.cfg.Meter.Failed(c.Work)
-		g.crashes.Broken(c.run(started))
+		g.crashes.ConnectionLost(c.run(started))
 	default:
 		if reason == outcome.ReasonDeadline {
 			g.cfg.Meter.Failed(c.Work)
 		}
-		g.crashes.Left(c.run(started))
+		g.crashes.Abandoned(c.run(started))
 	}
 	return g.unknown(req, reason)
 }
