--- a/transport/crash/crash_test.go
+++ b/transport/crash/crash_test.go
@@ -23,14 +23,14 @@
 // fixture is an observer that records the calls of its callbacks.
 type fixture struct {
 	*Observer
-	reachErr  error
-	probes    int
-	gone      int
-	leaving   bool
-	view      *suspect.View
-	crashes   []suspect.Crash
-	evidence  []suspect.Fingerprint
-	succeeded []suspect.Fingerprint
+	reachErr    error
+	probes      int
+	unreachable int
+	leaving     bool
+	view        *suspect.View
+	crashes     []suspect.Crash
+	evidence    []suspect.Fingerprint
+	succeeded   []suspect.Fingerprint
 }
 
 // newFixture returns a fixture whose probes return reachErr.
@@ -46,7 +46,7 @@
 			s.probes++
 			return s.reachErr
 		},
-		Unreachable: func(string) { s.gone++ },
+		Unreachable: func(string) { s.unreachable++ },
 		Leaving:     func(string) bool { return s.leaving },
 		Crashes:     metrics.NewSet().NewCounter("c"),
 		Logger:      log.NewNopLogger(),
@@ -76,7 +76,7 @@
 		must.Eq(t, []suspect.Fingerprint{1, 2, 3}, s.evidence)
 		must.Len(t, 1, s.crashes)
 		must.Eq(t, 1, s.probes)
-		must.Eq(t, 1, s.gone)
+		must.Eq(t, 1, s.unreachable)
 	})
 }
 
@@ -120,7 +120,7 @@
 				time.Sleep(time.Second)
 				synctest.Wait()
 				must.Len(t, 0, s.evidence)
-				must.Zero(t, s.gone)
+				must.Zero(t, s.unreachable)
 			})
 		})
 	}
--- a/transport/inbound/forms_test.go
+++ b/transport/inbound/forms_test.go
@@ -28,7 +28,8 @@
 	bytewise bool // each byte is written separately
 }
 
-// chunked returns a body in two chunks, up to the last chunk's size.
+// chunked returns a body of two chunks and the last chunk, without the final CRLF, so that
+// trailers can follow.
 func chunked(a, b string) string {
 	chunk := func(s string) string { return strconv.FormatInt(int64(len(s)), 16) + "\r\n" + s + "\r\n" }
 	return chunk(a) + chunk(b) + "0\r\n"
--- a/transport/inbound/repeat_test.go
+++ b/transport/inbound/repeat_test.go
@@ -36,7 +36,7 @@
 func (plainDialect) Judge(int, dialect.Header) dialect.Verdict { return dialect.Ran }
 
 // newGate returns a gate in front of a backend server that runs h.
-func newGate(t *testing.T, runs *attempt.Runs, strain attempt.BudgetUsage, h http.HandlerFunc) (*Gate, *instance.Instance) {
+func newGate(t *testing.T, runs *attempt.Runs, usage attempt.BudgetUsage, h http.HandlerFunc) (*Gate, *instance.Instance) {
 	t.Helper()
 	backend := httptest.NewServer(h)
 	t.Cleanup(backend.Close)
@@ -56,7 +56,7 @@
 		ResponseShaper: pace.New(pace.DefaultConfig(1e6)),
 		UploadShaper:   pace.New(pace.DefaultConfig(1e6)),
 		Runs:           runs,
-		BudgetUsage:    func(time.Time) attempt.BudgetUsage { return strain },
+		BudgetUsage:    func(time.Time) attempt.BudgetUsage { return usage },
 		Suspects:       func() *suspect.View { return nil },
 		Crashed:        func(suspect.Crash, []suspect.Fingerprint) {},
 		Succeeded:      func(suspect.Fingerprint) {},
--- a/transport/inbound/stuck_test.go
+++ b/transport/inbound/stuck_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// SetWriteDeadline implements the method that http.ResponseController calls. It can be
-// called once only.
+// SetWriteDeadline implements the method that http.ResponseController calls. It must be
+// called at most once.
 func (s stalledWriter) SetWriteDeadline(at time.Time) error {
 	time.AfterFunc(time.Until(at), func() { close(s.expired) })
 	return nil
