--- a/transport/forward/client.go
+++ b/transport/forward/client.go
@@ -17,34 +17,36 @@
 
 // ClientConfig configures NewClient.
 type ClientConfig struct {
-	// DialTimeout bounds opening a connection, its TLS handshake included.
+	// DialTimeout bounds opening a connection, including its TLS handshake.
 	DialTimeout time.Duration
-	// IdleTimeout closes a connection that was not used for so long. Keep it
-	// below the servers' own, so that a request seldom meets a closing one.
+	// IdleTimeout is how long a connection may be idle before it is closed. It
+	// should be below the servers' own idle timeout, so that a request is rarely
+	// sent on a connection that the server is closing.
 	IdleTimeout time.Duration
-	// IdlePerHost is the number of idle connections kept for each address.
+	// IdlePerHost is the maximum number of idle connections per address.
 	IdlePerHost int
-	// LocalIP is the address that connections leave from, so that receivers
-	// know the host by it. Nil leaves the choice to the kernel.
+	// LocalIP is the source address of connections, by which receivers
+	// identify this host. Nil leaves the choice to the kernel.
 	LocalIP net.IP
 	// ContinueTimeout is how long to wait for "100 Continue" before the body
-	// is sent all the same.
+	// is sent without it.
 	ContinueTimeout time.Duration
-	// UnackedTimeout ends a connection on which what was sent stays
-	// unacknowledged for so long, since the way or the other host is gone: its
-	// request fails then and not at its deadline. 0 leaves it to the kernel.
+	// UnackedTimeout is how long sent data may stay unacknowledged before the
+	// connection fails. If the network path or the other host is lost, the
+	// request then fails before its deadline. 0 leaves it to the kernel.
 	UnackedTimeout time.Duration
-	// PackHeads makes heads small on connections without TLS, by package
-	// headpack. The servers must accept such connections.
+	// PackHeads compresses the heads of messages on connections without TLS with
+	// package headpack. The servers must accept such connections.
 	PackHeads bool
-	// Foreign reports whether a response belongs to another request than req:
-	// a late second answer to an earlier one. It is read to its end and
-	// skipped. Nil holds every response to be the request's own.
+	// Foreign reports whether a response belongs to a request other than req,
+	// such as a late second response to an earlier one. Such a response is read
+	// to its end and discarded. Nil treats every response as that of req.
 	Foreign func(req *http.Request, resp *http.Response) bool
-	// Sent and Received, unless nil, count the bytes on the wire of all connections.
+	// Sent and Received count the bytes on the wire of all connections, unless nil.
 	Sent, Received *metrics.Counter
-	// TLS is used for requests with the scheme "https". It needs a ServerName
-	// or a check of its own unless certificates name the IP address.
+	// TLS is the configuration for requests with the scheme "https". Unless the
+	// servers' certificates name their IP addresses, it needs a ServerName or its
+	// own verification function.
 	TLS *tls.Config
 }
 
@@ -59,9 +61,9 @@
 }
 
 // Client is an HTTP/1.1 client for Send. It writes a request and reads its
-// response on the caller's own goroutine, where http.Transport hands both to
-// two goroutines of the connection and back. It never sends a request twice,
-// follows no redirect, uses no proxy and doesn't decompress.
+// response on the goroutine of the caller, whereas http.Transport hands them to
+// two goroutines of the connection. It never sends a request twice, follows no
+// redirect, uses no proxy and doesn't decompress.
 //
 // A response's body must be read to its end or closed. Client is safe for
 // concurrent use.
@@ -88,11 +90,10 @@
 	return resp, err
 }
 
-// Reach opens a connection to an address and closes it again, to learn whether
-// anybody listens there.
+// Reach checks whether addr accepts connections: it opens one and closes it.
 func (c *Client) Reach(ctx context.Context, addr string) error { return reach(ctx, &c.dialer, addr) }
 
-// Reach is Client.Reach from any address of this host.
+// Reach checks like Client.Reach, from a source address that the kernel chooses.
 func Reach(ctx context.Context, addr string) error { return reach(ctx, &net.Dialer{}, addr) }
 
 func reach(ctx context.Context, d *net.Dialer, addr string) error {
@@ -106,32 +107,35 @@
 // CloseIdleConnections closes all connections that are not in use.
 func (c *Client) CloseIdleConnections() { c.pool.closeAll() }
 
-// send sends req once.
+// send sends req once and returns the response's head and the time spent on
+// getting a connection. w receives 1xx responses, unless nil.
 func (c *Client) send(req *http.Request, w http.ResponseWriter) (*http.Response, time.Duration, error) {
 	if err := checkRequest(req); err != nil {
 		return nil, 0, &SendError{Err: err}
 	}
-	began := time.Now()
+	start := time.Now()
 	conn, err := c.connect(req)
-	opening := time.Since(began)
+	connectTime := time.Since(start)
 	if err != nil {
-		return nil, opening, &SendError{Err: causeOf(req.Context(), err)}
+		return nil, connectTime, &SendError{Err: causeOf(req.Context(), err)}
 	}
-	x := newTrip(c, conn, req, w)
+	x := newRoundTrip(c, conn, req, w)
 	resp, err := x.run()
 	if err != nil {
-		// Sealed first: a body's goroutine can send nothing after the count.
+		// Sealing stops the goroutine that uploads the body, so that it can't
+		// send anything after the count was taken.
 		sent := conn.raw.seal() > x.start
 		x.end(false)
 		if errors.Is(err, syscall.ETIMEDOUT) {
-			c.pool.closeIdle(conn.key) // the others lead the same way
+			c.pool.closeIdle(conn.key) // they use the same network path
 		}
-		return nil, opening, &SendError{Sent: sent, Err: causeOf(req.Context(), err)}
+		return nil, connectTime, &SendError{Sent: sent, Err: causeOf(req.Context(), err)}
 	}
-	return resp, opening, nil
+	return resp, connectTime, nil
 }
 
-// causeOf returns why a request failed: its context's end where it ended.
+// causeOf returns the cause of a failed request: the context's error if the
+// context has ended, else err.
 func causeOf(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -139,7 +143,7 @@
 	return err
 }
 
-// connect returns an idle connection or opens one.
+// connect returns an idle connection to the request's address or opens one.
 func (c *Client) connect(req *http.Request) (*clientConn, error) {
 	ctx := req.Context()
 	if err := ctx.Err(); err != nil {
@@ -175,7 +179,8 @@
 	return newClientConn(key, tracked, secured), nil
 }
 
-// tlsConfig returns the configuration for a connection to an address.
+// tlsConfig returns the TLS configuration for a connection to addr. The host of
+// addr is the server name unless the client's configuration has one.
 func (c *Client) tlsConfig(addr string) *tls.Config {
 	var cfg *tls.Config
 	if c.cfg.TLS == nil {
--- a/transport/forward/client_conn.go
+++ b/transport/forward/client_conn.go
@@ -16,34 +16,35 @@
 const (
 	// connBuffer is the size of a connection's buffers, in bytes.
 	connBuffer = 4 << 10
-	// maxResponseHead bounds a response's head, in bytes, with the interim
-	// responses before it.
+	// maxResponseHead is the maximum size of a response's head, in bytes,
+	// including the interim responses before it.
 	maxResponseHead = 1 << 20
 )
 
-// connKey names the connections that are alike.
+// connKey identifies connections that are interchangeable.
 type connKey struct{ scheme, addr string }
 
-// clientConn is one connection. One request uses it at a time.
+// clientConn is a connection of a Client. It carries one request at a time.
 type clientConn struct {
 	key  connKey
 	raw  *trackedConn
 	conn net.Conn // raw, or TLS or packed heads over it
-	// packed is conn where heads are packed, or else nil.
+	// packed is conn if it packs heads, else nil.
 	packed *headpack.Conn
 	br     *bufio.Reader
 	bw     *bufio.Writer
-	// headLeft bounds the reading of a head; 0 is no bound.
+	// headLeft is one more than the number of bytes that may still be read of a
+	// head; 0 means no limit.
 	headLeft int64
-	// idleSince is when it became idle. The pool's lock guards it.
+	// idleSince is when the connection became idle. The pool's lock guards it.
 	idleSince time.Time
-	// idleLimit is how long the server keeps the connection idle, less a
-	// margin; 0 when it didn't say.
+	// idleLimit is how long the server keeps the connection open while it is
+	// idle, less idleMargin; 0 if the server doesn't state it.
 	idleLimit time.Duration
 
-	socket syscall.RawConn // nil where the connection is no socket
-	quiet  bool            // what look found
-	look   func(fd uintptr) bool
+	socket syscall.RawConn // nil if the connection is not a socket
+	silent bool            // result of peek: open, with no bytes to read
+	peek   func(fd uintptr) bool
 }
 
 func newClientConn(key connKey, raw *trackedConn, conn net.Conn) *clientConn {
@@ -55,17 +56,17 @@
 			c.socket = socket
 		}
 	}
-	c.look = c.lookAt
+	c.peek = c.peekSocket
 	return c
 }
 
-// idleMargin is taken off the idle time that a server states: a request that
-// leaves just before the end may meet a closed connection.
+// idleMargin is subtracted from the idle timeout that a server states: a request
+// sent just before it expires may arrive after the server has closed the connection.
 const idleMargin = 500 * time.Millisecond
 
-// statedIdle returns how long a server keeps an idle connection by its
-// Keep-Alive header, less idleMargin; 0 when it doesn't say.
-func statedIdle(h http.Header) time.Duration {
+// keepAliveTimeout returns the idle timeout of the server according to its
+// Keep-Alive header, less idleMargin; 0 if the header doesn't state it.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, line := range h["Keep-Alive"] {
 		for field := range strings.SplitSeq(line, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -78,46 +79,48 @@
 	return 0
 }
 
-// fresh reports whether the server still keeps the connection by its own word.
-func (c *clientConn) fresh(idle, timeout time.Duration) bool {
+// withinIdleLimit reports whether a connection that has been idle for the time
+// idle is within both timeout and the idle timeout that the server has stated.
+func (c *clientConn) withinIdleLimit(idle, timeout time.Duration) bool {
 	if c.idleLimit > 0 {
 		timeout = min(timeout, c.idleLimit)
 	}
 	return idle < timeout
 }
 
-// usable reports whether an idle connection is still open and silent. A server
-// that has closed it, or has sent what nobody asked for, makes it unusable.
+// usable reports whether an idle connection is open and has nothing to read. It
+// is unusable if the server has closed it or has sent unrequested bytes.
 func (c *clientConn) usable() bool {
-	if c.leftover() {
+	if c.hasExcessBytes() {
 		return false
 	}
 	if c.socket == nil {
 		return true
 	}
-	c.quiet = false
-	if err := c.socket.Read(c.look); err != nil {
+	c.silent = false
+	if err := c.socket.Read(c.peek); err != nil {
 		return false
 	}
-	return c.quiet
+	return c.silent
 }
 
-// leftover reports whether bytes were received that belong to no response.
-func (c *clientConn) leftover() bool {
+// hasExcessBytes reports whether bytes were received that belong to no response.
+func (c *clientConn) hasExcessBytes() bool {
 	return c.br.Buffered() > 0 || c.packed != nil && c.packed.Pending()
 }
 
-// lookAt looks for bytes or the end of the connection without waiting.
-func (c *clientConn) lookAt(fd uintptr) bool {
+// peekSocket checks without waiting whether there are bytes to read or the
+// connection has ended, and sets silent.
+func (c *clientConn) peekSocket(fd uintptr) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	c.quiet = err == syscall.EAGAIN
+	c.silent = err == syscall.EAGAIN
 	return true
 }
 
-func (c *clientConn) close() { _ = c.conn.Close() } // it carries nothing any more
+func (c *clientConn) close() { _ = c.conn.Close() } // the connection is no longer needed
 
-// headReader bounds what is read while a head is read.
+// headReader reads from a connection and enforces headLeft.
 type headReader struct{ c *clientConn }
 
 // Read implements io.Reader.
--- a/transport/forward/conn.go
+++ b/transport/forward/conn.go
@@ -7,18 +7,18 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// trackedConn counts the bytes written, so that a failed request can be told
-// apart from one that was never sent.
+// trackedConn is a connection that counts the bytes written, so that a request
+// that failed after sending can be distinguished from one that was never sent.
 type trackedConn struct {
 	net.Conn
-	sent, received *metrics.Counter // nil to not count
+	sent, received *metrics.Counter // may be nil
 
 	mu      sync.Mutex
 	written int64
 	sealed  bool
 }
 
-// Write counts p before it is written: a failed write may have sent a part.
+// Write counts p before writing it, since a failed write may have sent part of it.
 func (c *trackedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
@@ -43,15 +43,16 @@
 	return n, err
 }
 
+// count returns the number of bytes written so far.
 func (c *trackedConn) count() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-// seal stops all further writes and returns the bytes written so far. Without
-// it, the goroutine that sends a body could still send a part of a request that
-// has already failed.
+// seal makes all further writes fail and returns the number of bytes written so
+// far. Without it, the goroutine that uploads a body could still send part of a
+// request that has already been reported as failed.
 func (c *trackedConn) seal() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/transport/forward/doc.go
+++ b/transport/forward/doc.go
@@ -1,6 +1,6 @@
 // Package forward holds the HTTP plumbing that the entry proxy and the gate
-// share: it sends a request, classifies a failure and relays the answer.
+// share: it sends a request, classifies a failure and relays the response.
 //
-// It never repeats a request: net/http's own retries on reused connections are
-// turned off, because a caller who is told "not run" must be able to trust it.
+// It never sends a request twice: net/http's own retries on reused connections
+// are avoided, because the outcome "not run" that a caller receives must be true.
 package forward
--- a/transport/forward/errors.go
+++ b/transport/forward/errors.go
@@ -2,8 +2,8 @@
 
 // SendError reports a request that got no response.
 type SendError struct {
-	// Sent is false when no byte of the request left this process, so that
-	// the request certainly was not run.
+	// Sent is false if no byte of the request was sent, so that the request
+	// certainly was not run.
 	Sent bool
 	// Err is the cause.
 	Err error
@@ -20,7 +20,7 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// TruncatedError reports a response that broke off before its end.
+// TruncatedError reports a response that ended before it was complete.
 type TruncatedError struct {
 	// Err is the cause.
 	Err error
@@ -44,7 +44,7 @@
 // Unwrap returns the cause.
 func (e *CallerError) Unwrap() error { return e.Err }
 
-// sealedError is what a write on a sealed connection returns.
+// sealedError is the error of a write on a sealed connection.
 type sealedError struct{}
 
 // Error implements error.
--- a/transport/forward/fingerprint_test.go
+++ b/transport/forward/fingerprint_test.go
@@ -13,7 +13,8 @@
 	"github.com/jacinthgate/jacinthgate/state/suspect"
 )
 
-func asked(method, url, body string, headers ...string) suspect.Fingerprint {
+// fingerprintOf returns the fingerprint of a request. headers alternates names and values.
+func fingerprintOf(method, url, body string, headers ...string) suspect.Fingerprint {
 	r := httptest.NewRequest(method, url, strings.NewReader(body))
 	for i := 0; i < len(headers); i += 2 {
 		r.Header.Set(headers[i], headers[i+1])
@@ -21,24 +22,24 @@
 	return Fingerprint(r, []byte(body))
 }
 
-func TestFingerprintIsThatOfWhatIsAsked(t *testing.T) {
-	first := asked(http.MethodGet, "http://club.example/order/7?page=2", "")
-	must.Eq(t, first, asked(http.MethodGet, "http://Club.Example/order/7?page=2", "", "X-Request-Id", "another", "Jacinthgate-Caller", "stock"))
+func TestFingerprintIdentifiesRequest(t *testing.T) {
+	first := fingerprintOf(http.MethodGet, "http://club.example/order/7?page=2", "")
+	must.Eq(t, first, fingerprintOf(http.MethodGet, "http://Club.Example/order/7?page=2", "", "X-Request-Id", "another", "Jacinthgate-Caller", "stock"))
 	for name, other := range map[string]suspect.Fingerprint{
-		"method": asked(http.MethodHead, "http://club.example/order/7?page=2", ""),
-		"host":   asked(http.MethodGet, "http://press.example/order/7?page=2", ""),
-		"path":   asked(http.MethodGet, "http://club.example/order/8?page=2", ""),
-		"query":  asked(http.MethodGet, "http://club.example/order/7?page=3", ""),
-		"body":   asked(http.MethodGet, "http://club.example/order/7?page=2", "x"),
-		"border": asked(http.MethodGet, "http://club.example/order/7page=2", ""),
-		"caller": asked(http.MethodGet, "http://club.example/order/7?page=2", "", "Authorization", "Bearer x"),
-		"escape": asked(http.MethodGet, "http://club.example/order%2F7?page=2", ""),
+		"method": fingerprintOf(http.MethodHead, "http://club.example/order/7?page=2", ""),
+		"host":   fingerprintOf(http.MethodGet, "http://press.example/order/7?page=2", ""),
+		"path":   fingerprintOf(http.MethodGet, "http://club.example/order/8?page=2", ""),
+		"query":  fingerprintOf(http.MethodGet, "http://club.example/order/7?page=3", ""),
+		"body":   fingerprintOf(http.MethodGet, "http://club.example/order/7?page=2", "x"),
+		"border": fingerprintOf(http.MethodGet, "http://club.example/order/7page=2", ""),
+		"caller": fingerprintOf(http.MethodGet, "http://club.example/order/7?page=2", "", "Authorization", "Bearer x"),
+		"escape": fingerprintOf(http.MethodGet, "http://club.example/order%2F7?page=2", ""),
 	} {
 		must.NotEq(t, first, other, must.Sprint(name))
 	}
 }
 
-func TestFingerprintIsReadAsItIsWritten(t *testing.T) {
+func TestFingerprintRoundTrip(t *testing.T) {
 	for _, f := range []suspect.Fingerprint{0, 1, 1 << 63, ^suspect.Fingerprint(0)} {
 		got, err := suspect.ParseFingerprint(f.String())
 		must.NoError(t, err)
@@ -51,8 +52,7 @@
 	}
 }
 
-// Each request pays for its fingerprint. Before there was none; one with a body of 300
-// bytes takes 0.12 µs and allocates nothing, one of 48 KB, the most that is kept, 4.9 µs.
+// The fingerprint is computed for every request. 48 KB is the largest body that is buffered.
 func BenchmarkFingerprint(b *testing.B) {
 	r := httptest.NewRequest(http.MethodPost, "http://club.example/order/7?page=2", nil)
 	for _, size := range []int{300, 48 << 10} {
--- a/transport/forward/header.go
+++ b/transport/forward/header.go
@@ -19,8 +19,8 @@
 	"Upgrade",
 }
 
-// RemoveHopByHop removes the headers of one connection from h, those that its
-// Connection header lists included.
+// RemoveHopByHop removes the hop-by-hop headers from h, including those that its
+// Connection header lists.
 func RemoveHopByHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -34,7 +34,7 @@
 	}
 }
 
-// CopyHeader copies all headers of src to dst. The values are shared and must
+// CopyHeader adds all headers of src to dst. Both share the values, which must
 // not be changed in place.
 func CopyHeader(dst, src http.Header) {
 	for k, v := range src {
@@ -46,7 +46,7 @@
 	}
 }
 
-// acceptsTrailers reports whether a TE header asks for trailers.
+// acceptsTrailers reports whether the TE header of h accepts trailers.
 func acceptsTrailers(h http.Header) bool {
 	for _, line := range h["Te"] {
 		for name := range strings.SplitSeq(line, ",") {
--- a/transport/forward/kept_body.go
+++ b/transport/forward/kept_body.go
@@ -2,10 +2,10 @@
 
 import "bytes"
 
-// KeptBody is a body that is at hand. It is sent together with the head.
+// KeptBody is a request body that is held in memory. It is sent together with the head.
 type KeptBody struct{ bytes.Reader }
 
-// NewKeptBody returns a body over b, which must not be changed.
+// NewKeptBody returns a body that reads b, which must not be changed.
 func NewKeptBody(b []byte) *KeptBody {
 	k := new(KeptBody)
 	k.Reset(b)
--- a/transport/forward/node_header.go
+++ b/transport/forward/node_header.go
@@ -33,14 +33,14 @@
 	outcome.HeaderStrain,
 }
 
-// StripNodeHeaders removes what only nodes may set, whoever sent it.
+// StripNodeHeaders removes the headers that only nodes may set from h.
 func StripNodeHeaders(h http.Header) {
 	for _, name := range nodeHeaders {
 		delete(h, name)
 	}
 }
 
-// HeaderError reports a header that must hold one number and doesn't.
+// HeaderError reports a header whose value is not a single number.
 type HeaderError struct {
 	// Name is the header's name.
 	Name string
@@ -49,8 +49,8 @@
 // Error implements error.
 func (e *HeaderError) Error() string { return e.Name + " is not a number" }
 
-// HeaderInt reads a header that holds one number of at most 31 bits. present
-// is false without the header. The error is a *HeaderError.
+// HeaderInt parses a header that holds one number of at most 31 bits. present
+// is false if h lacks the header. The error is a *HeaderError.
 func HeaderInt(h http.Header, name string) (value int, present bool, err error) {
 	lines := h[name]
 	if len(lines) == 0 {
@@ -63,26 +63,29 @@
 	return int(v), true, nil
 }
 
-// Millis returns the value of a header that holds a time, in whole milliseconds.
+// Millis formats a duration as a header's value, in whole milliseconds. A
+// negative duration counts as 0.
 func Millis(d time.Duration) string {
 	return strconv.FormatInt(max(0, d.Milliseconds()), 10)
 }
 
-// maxDrain is how much of a refusal's body is read so that its connection can
-// be used again, in bytes.
+// maxDrain is the maximum length of a refusal's body that Drain reads to make the
+// connection reusable, in bytes.
 const maxDrain = 4 << 10
 
-// Drain reads a short body to its end and closes it.
+// Drain closes the body of resp. It first reads a short body to its end, so that
+// the connection can be reused.
 func Drain(resp *http.Response) {
-	_, _ = io.CopyN(io.Discard, resp.Body, maxDrain) // only the connection is at stake
+	_, _ = io.CopyN(io.Discard, resp.Body, maxDrain) // an error only makes the connection unusable
 	_ = resp.Body.Close()
 }
 
-// RetryAfter reads a Retry-After in whole seconds.
-func RetryAfter(h http.Header, otherwise time.Duration) time.Duration {
+// RetryAfter returns the delay in the Retry-After header of h, which is in whole
+// seconds, or fallback if the header is missing, invalid or 0.
+func RetryAfter(h http.Header, fallback time.Duration) time.Duration {
 	s, err := strconv.ParseUint(h.Get("Retry-After"), 10, 16)
 	if err != nil || s == 0 {
-		return otherwise
+		return fallback
 	}
 	return time.Duration(s) * time.Second
 }
--- a/transport/forward/paced.go
+++ b/transport/forward/paced.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// Pacer returns how long to wait before a piece of a body is sent. *pace.Reservation
-// is one.
+// Pacer limits the rate at which a body is sent. *pace.Reservation implements it.
 type Pacer interface {
+	// Piece returns how long to wait before sending the given number of bytes.
 	Piece(now time.Time, bytes int) time.Duration
 }
 
 const (
-	// PieceBytes is the size of the pieces of a paced body, in bytes: on the
-	// users' slowest links, 7.5 Mbit/s, one holds up a small answer by 9 ms.
+	// PieceBytes is the maximum size of a piece of a paced body, in bytes. On the
+	// users' slowest links, 7.5 Mbit/s, one piece delays a small response by 9 ms.
 	PieceBytes = 8 << 10
-	// pieceWait is the least wait that is worth a timer: pieces of fast links
-	// go several at a time.
-	pieceWait = 2 * time.Millisecond
+	// minPieceWait is the shortest wait that is worth a timer. On fast links
+	// several pieces are therefore sent at once.
+	minPieceWait = 2 * time.Millisecond
 )
 
-// Paced returns a body that is read no faster than the pacer allows. Reading
-// ends with ctx.
+// Paced returns a body that can be read no faster than p allows. A read that
+// waits fails when ctx ends.
 func Paced(ctx context.Context, body io.ReadCloser, p Pacer) io.ReadCloser {
 	return &pacedBody{ReadCloser: body, ctx: ctx, pacer: p}
 }
 
+// pacedBody is the body that Paced returns.
 type pacedBody struct {
 	io.ReadCloser
 	ctx   context.Context
@@ -40,7 +41,7 @@
 		return n, err
 	}
 	wait := b.pacer.Piece(time.Now(), n)
-	if wait < pieceWait {
+	if wait < minPieceWait {
 		return n, err
 	}
 	t := time.NewTimer(wait)
--- a/transport/forward/pool.go
+++ b/transport/forward/pool.go
@@ -5,43 +5,44 @@
 	"time"
 )
 
-// pool keeps idle connections. Requests to different addresses share no lock.
+// pool holds idle connections. Requests to different addresses share no lock.
 type pool struct {
-	perHost int
-	timeout time.Duration
-	hosts   sync.Map // connKey -> *idleConns
+	perHost int           // maximum number of idle connections per address
+	timeout time.Duration // how long a connection may be idle
+	byKey   sync.Map      // connKey -> *idleConns
 }
 
-// idleConns are the idle connections of one address, the latest used last.
+// idleConns holds the idle connections of one address, the most recently used last.
 type idleConns struct {
 	mu    sync.Mutex
 	conns []*clientConn
-	// gone says that the pool has dropped it.
-	gone bool
-	// sweeping says that a sweep is due.
-	sweeping bool
+	// removed is set once the pool has removed this object.
+	removed bool
+	// sweepScheduled is set once a timer for a sweep is running.
+	sweepScheduled bool
 }
 
-// get returns a usable connection, or nil. The latest used one comes first, so
-// that connections that are not needed grow old.
+// get returns a usable idle connection, or nil. It prefers the most recently used
+// one, so that surplus connections reach their idle timeout.
 func (p *pool) get(key connKey) *clientConn {
-	v, ok := p.hosts.Load(key)
+	v, ok := p.byKey.Load(key)
 	if !ok {
 		return nil
 	}
-	host := v.(*idleConns)
+	idle := v.(*idleConns)
 	for {
-		c := host.take()
+		c := idle.take()
 		if c == nil {
 			return nil
 		}
-		if c.fresh(time.Since(c.idleSince), p.timeout) && c.usable() {
+		if c.withinIdleLimit(time.Since(c.idleSince), p.timeout) && c.usable() {
 			return c
 		}
 		c.close()
 	}
 }
 
+// take removes and returns the most recently used connection, or nil.
 func (h *idleConns) take() *clientConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -55,25 +56,26 @@
 	return c
 }
 
-// put keeps a connection for the next request.
+// put adds a connection that has become idle.
 func (p *pool) put(c *clientConn) {
 	c.idleSince = time.Now()
 	for {
-		v, ok := p.hosts.Load(c.key)
+		v, ok := p.byKey.Load(c.key)
 		if !ok {
-			v, _ = p.hosts.LoadOrStore(c.key, &idleConns{})
+			v, _ = p.byKey.LoadOrStore(c.key, &idleConns{})
 		}
-		if v.(*idleConns).keep(p, c) {
+		if v.(*idleConns).add(p, c) {
 			return
 		}
 	}
 }
 
-// keep reports false when h is gone and another one must be taken.
-func (h *idleConns) keep(p *pool, c *clientConn) bool {
+// add adds c, or closes it if there are enough idle connections. It returns false
+// if the pool has removed h, in which case c must be added to another object.
+func (h *idleConns) add(p *pool, c *clientConn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.gone {
+	if h.removed {
 		return false
 	}
 	if len(h.conns) >= p.perHost {
@@ -81,27 +83,27 @@
 		return true
 	}
 	h.conns = append(h.conns, c)
-	if !h.sweeping {
-		h.sweeping = true
+	if !h.sweepScheduled {
+		h.sweepScheduled = true
 		time.AfterFunc(p.timeout, func() { p.sweep(c.key, h) })
 	}
 	return true
 }
 
-// sweep closes what has been idle for too long. An address without idle
-// connections is dropped.
+// sweep closes the connections that have reached the idle timeout and schedules
+// the next sweep. It removes an address without idle connections from the pool.
 func (p *pool) sweep(key connKey, h *idleConns) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	old := 0
-	for old < len(h.conns) && time.Since(h.conns[old].idleSince) >= p.timeout {
-		h.conns[old].close()
-		old++
+	expired := 0
+	for expired < len(h.conns) && time.Since(h.conns[expired].idleSince) >= p.timeout {
+		h.conns[expired].close()
+		expired++
 	}
-	h.conns = append(h.conns[:0], h.conns[old:]...)
+	h.conns = append(h.conns[:0], h.conns[expired:]...)
 	if len(h.conns) == 0 {
-		h.gone = true
-		p.hosts.Delete(key)
+		h.removed = true
+		p.byKey.Delete(key)
 		return
 	}
 	next := p.timeout - time.Since(h.conns[0].idleSince)
@@ -110,18 +112,19 @@
 
 // closeAll closes all idle connections.
 func (p *pool) closeAll() {
-	for _, v := range p.hosts.Range {
+	for _, v := range p.byKey.Range {
 		v.(*idleConns).closeAll()
 	}
 }
 
 // closeIdle closes the idle connections of one address.
 func (p *pool) closeIdle(key connKey) {
-	if v, ok := p.hosts.Load(key); ok {
+	if v, ok := p.byKey.Load(key); ok {
 		v.(*idleConns).closeAll()
 	}
 }
 
+// closeAll closes the idle connections of h.
 func (h *idleConns) closeAll() {
 	for c := h.take(); c != nil; c = h.take() {
 		c.close()
--- a/transport/forward/refusal.go
+++ b/transport/forward/refusal.go
@@ -10,17 +10,17 @@
 	"github.com/jacinthgate/jacinthgate/protocol/outcome"
 )
 
-// Refusal is an answer that doesn't come from a backend server. It is an error
-// so that it can be returned as one.
+// Refusal is a response that does not come from a backend server but is created
+// here in its place. It implements error.
 type Refusal struct {
 	// Outcome is NotRun or Unknown.
 	Outcome outcome.Outcome
-	// Reason is for programs.
+	// Reason is the machine-readable reason.
 	Reason outcome.Reason
-	// Detail is for people.
+	// Detail is a description for people.
 	Detail string
-	// RetryAfter is when to come back at the earliest; it is rounded up to
-	// whole seconds, at least one, and jittered.
+	// RetryAfter is the minimum delay before a retry. It is sent in whole
+	// seconds, rounded up, at least one, with jitter added.
 	RetryAfter time.Duration
 }
 
@@ -34,7 +34,7 @@
 	return &Refusal{Outcome: outcome.NotRun, Reason: reason, Detail: detail}
 }
 
-// Unknown returns the answer to a request that may have run.
+// Unknown returns the refusal for a request that may have run.
 func Unknown(reason outcome.Reason, detail string) *Refusal {
 	return &Refusal{Outcome: outcome.Unknown, Reason: reason, Detail: detail}
 }
@@ -70,13 +70,14 @@
 	}
 }
 
+// refusalBody is the JSON body of a refusal.
 type refusalBody struct {
 	Outcome outcome.Outcome `json:"outcome"`
 	Reason  outcome.Reason  `json:"reason"`
 	Detail  string          `json:"detail"`
 }
 
-// Write answers with the refusal.
+// Write sends the refusal as the response.
 func (r *Refusal) Write(w http.ResponseWriter) {
 	b, err := json.Marshal(refusalBody{Outcome: r.Outcome, Reason: r.Reason, Detail: r.Detail})
 	if err != nil {
@@ -91,11 +92,11 @@
 		h.Set("Retry-After", strconv.Itoa(retrySeconds(r.RetryAfter)))
 	}
 	w.WriteHeader(r.Status())
-	_, _ = w.Write(b) // the caller may be gone; there is nobody to tell
+	_, _ = w.Write(b) // fails if the caller has disconnected, which needs no report
 }
 
-// retrySeconds rounds up to whole seconds and adds up to half as much again,
-// so that refused callers don't come back at once together.
+// retrySeconds returns d in whole seconds, rounded up, plus a jitter of up to
+// about half of it, so that refused callers don't all retry at the same time.
 func retrySeconds(d time.Duration) int {
 	s := max(1, int((d+time.Second-1)/time.Second))
 	return s + rand.IntN(s/2+2)
--- a/transport/forward/relay.go
+++ b/transport/forward/relay.go
@@ -13,12 +13,13 @@
 var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 
 // Relay writes resp to w and closes its body. The headers already set on w are
-// kept; the caller removes from resp.Header what must not be passed on.
+// kept. Headers that must not be passed on have to be removed from resp.Header
+// before the call.
 //
-// It returns a *TruncatedError when the upstream broke off, after which the
-// handler must panic with http.ErrAbortHandler so that its caller doesn't take
-// the part for the whole, and a *CallerError when the caller can't be written
-// to.
+// It returns a *TruncatedError if the body ended before it was complete; the
+// handler must then panic with http.ErrAbortHandler, so that its caller doesn't
+// take the truncated response for a complete one. It returns a *CallerError if
+// the response can't be written to the caller.
 func Relay(w http.ResponseWriter, resp *http.Response) error {
 	defer resp.Body.Close()
 	announced := announceTrailers(resp)
@@ -35,6 +36,7 @@
 	return copyTrailers(w, resp, len(announced))
 }
 
+// announceTrailers returns the names of the trailers that resp has announced.
 func announceTrailers(resp *http.Response) []string {
 	var names []string
 	for name := range resp.Trailer {
@@ -43,12 +45,13 @@
 	return names
 }
 
-// copyTrailers writes the trailers, those that were not announced included.
+// copyTrailers writes the trailers, including those that were not announced.
+// announced is the number of those that were.
 func copyTrailers(w http.ResponseWriter, resp *http.Response, announced int) error {
 	if len(resp.Trailer) == 0 {
 		return nil
 	}
-	// Flushing makes the response chunked, which trailers need.
+	// Flushing makes the response chunked, which trailers require.
 	if err := http.NewResponseController(w).Flush(); err != nil {
 		return &CallerError{Err: err}
 	}
@@ -63,21 +66,22 @@
 	return nil
 }
 
-// streams reports whether parts of the body must be passed on as they come.
-func streams(resp *http.Response) bool {
+// mustFlush reports whether each part of the body must be passed on on arrival.
+func mustFlush(resp *http.Response) bool {
 	return resp.ContentLength < 0 || IsEventStream(resp)
 }
 
-// IsEventStream reports whether the body is a sequence of server-sent events, each of which its
-// receiver waits for.
+// IsEventStream reports whether the body is a stream of server-sent events, which must reach the
+// receiver without buffering.
 func IsEventStream(resp *http.Response) bool {
 	return strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
+// copyBody writes the body of resp to w.
 func copyBody(w http.ResponseWriter, resp *http.Response) error {
 	buf := buffers.Get().(*[bufferSize]byte)
 	defer buffers.Put(buf)
-	flush := streams(resp)
+	flush := mustFlush(resp)
 	rc := http.NewResponseController(w)
 	if flush {
 		if err := rc.Flush(); err != nil {
@@ -105,8 +109,8 @@
 	}
 }
 
-// ReadWhole reads a body that must end after len(p) bytes, and closes it. The
-// end is read too: it gives the connection back.
+// ReadWhole reads a body of exactly len(p) bytes into p and closes it. It also
+// reads the end of the body, which returns the connection to the pool.
 func ReadWhole(body io.ReadCloser, p []byte) error {
 	_, err := io.ReadFull(body, p)
 	if err == nil {
@@ -119,10 +123,10 @@
 	return err
 }
 
-// CountedBody counts what is read of a body.
+// CountedBody is a body that counts the bytes read from it.
 type CountedBody struct {
 	io.ReadCloser
-	// Received is what was read so far, in bytes.
+	// Received is the number of bytes read so far.
 	Received int64
 }
 
--- a/transport/forward/send.go
+++ b/transport/forward/send.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Send sends req once and returns the response's head. The error is a
-// *SendError. w gets the upstream's 1xx responses; nil drops them.
+// Send sends req once and returns the response; its body is still to be read. The
+// error is a *SendError. The server's 1xx responses are written to w, or dropped
+// if w is nil.
 //
-// rt should be a *Client. Another RoundTripper may send a request again by
-// itself, passes no 1xx response on, and all its failures count as sent.
+// rt should be a *Client. Another RoundTripper may itself retry a request and
+// passes on no 1xx response, and each of its failures counts as sent.
 func Send(rt http.RoundTripper, req *http.Request, w http.ResponseWriter) (*http.Response, error) {
 	resp, _, err := SendTimed(rt, req, w)
 	return resp, err
 }
 
-// SendTimed is Send and tells how long the request waited for a connection: the
-// time of a handshake where none was idle. That says nothing of how fast the
-// server works. It is 0 with a RoundTripper that is no *Client.
+// SendTimed is like Send and also returns how long it took to get a connection:
+// the time of the handshake if no connection was idle. This time is not part of
+// the server's response time. It is 0 if rt is not a *Client.
 func SendTimed(rt http.RoundTripper, req *http.Request, w http.ResponseWriter) (*http.Response, time.Duration, error) {
 	if c, ok := rt.(*Client); ok {
 		return c.send(req, w)
--- a/transport/forward/send_test.go
+++ b/transport/forward/send_test.go
@@ -16,8 +16,9 @@
 	"github.com/jacinthgate/jacinthgate/protocol/outcome"
 )
 
-// staleServer answers the first request of each connection and closes the
-// connection on the second one without an answer. It counts the requests.
+// staleServer starts a server that responds to the first request of each connection
+// and closes the connection without a response on the second one. It returns its
+// address and the number of requests received.
 func staleServer(t *testing.T) (addr string, count *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,6 +37,7 @@
 	return l.Addr().String(), count
 }
 
+// serveStale serves one connection of staleServer.
 func serveStale(c net.Conn, count *atomic.Int64) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -52,7 +54,8 @@
 	}
 }
 
-// net/http's own client repeats such requests by itself.
+// When a reused connection is closed under them, net/http's own client retries such
+// requests by itself.
 func TestNothingIsSentTwice(t *testing.T) {
 	cases := []struct {
 		name, method, body string
@@ -104,7 +107,7 @@
 	must.False(t, failed.Sent)
 }
 
-// A request counts as not sent only if nothing can be written afterwards.
+// A request may be reported as not sent only if nothing can be written afterwards.
 func TestSealedConnectionSendsNothing(t *testing.T) {
 	client, server := net.Pipe()
 	defer server.Close()
@@ -116,8 +119,8 @@
 	must.Eq(t, 0, c.seal())
 }
 
-func TestCutAnswersAreNotWhole(t *testing.T) {
-	for _, answer := range []string{
+func TestTruncatedResponsesAreReported(t *testing.T) {
+	for _, response := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\npart",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
 	} {
@@ -129,15 +132,15 @@
 				return
 			}
 			_, _ = http.ReadRequest(bufio.NewReader(c))
-			_, _ = io.WriteString(c, answer)
+			_, _ = io.WriteString(c, response)
 			_ = c.Close()
 		}()
 		rt := NewClient(DefaultClientConfig())
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			resp, err := Send(rt, NewRequest(r.Context(), r, "http", l.Addr().String(), nil, 0), w)
 			must.NoError(t, err)
-			var cut *TruncatedError
-			must.True(t, errors.As(Relay(w, resp), &cut))
+			var truncated *TruncatedError
+			must.True(t, errors.As(Relay(w, resp), &truncated))
 			panic(http.ErrAbortHandler)
 		}))
 		resp, err := http.Get(s.URL)
@@ -151,7 +154,7 @@
 	}
 }
 
-func TestHeadersOfOneConnectionAreRemoved(t *testing.T) {
+func TestHopByHopHeadersAreRemoved(t *testing.T) {
 	in := httptest.NewRequest("GET", "/", nil)
 	in.Header = http.Header{
 		"Connection": {"X-Secret, keep-alive", "x-other"}, "X-Secret": {"1"}, "X-Other": {"1"},
@@ -186,7 +189,7 @@
 	}
 }
 
-// A body goes to one attempt only.
+// Only one attempt at a time may read a body.
 func TestStreamBodyHasOneReader(t *testing.T) {
 	r := httptest.NewRequest("POST", "/", strings.NewReader("body"))
 	first := NewStreamBody(httptest.NewRecorder(), r)
--- a/transport/forward/status.go
+++ b/transport/forward/status.go
@@ -2,7 +2,8 @@
 
 import "net/http"
 
-// FailedStatus reports whether a backend server's status tells of a failure of its own.
+// FailedStatus reports whether the status of a backend server's response means that
+// the server itself failed.
 func FailedStatus(status int) bool {
 	switch status {
 	case http.StatusInternalServerError, http.StatusBadGateway,
--- a/transport/forward/stream.go
+++ b/transport/forward/stream.go
@@ -8,27 +8,27 @@
 	"sync/atomic"
 )
 
-// StreamBody passes a request's body on as it comes. Closing it does nothing:
-// the server closes the body itself, and until any of it was read it can still
-// be sent elsewhere.
+// StreamBody is a request body that is forwarded while it arrives. Closing it does
+// nothing: the HTTP server closes the caller's body, and as long as none of it was
+// read, another attempt can send it.
 type StreamBody struct {
 	body  io.Reader
 	w     http.ResponseWriter
 	state atomic.Int32
 	// reading is held while the body is read.
 	reading sync.Mutex
-	onRead  func(bytes int, ended bool) // nil for nothing
+	onRead  func(bytes int, ended bool) // may be nil
 }
 
-// OnRead lets f be told of each piece of the body that is read, in bytes, and whether it was the last
-// or the body can't be read on. It is set before the body is read.
+// OnRead sets a function that is called after each read with the number of bytes read and whether
+// the body has ended or failed. It must be called before the body is read.
 func (s *StreamBody) OnRead(f func(bytes int, ended bool)) { s.onRead = f }
 
 // States of a StreamBody.
 const (
-	streamUntouched = iota
-	streamRead
-	streamReclaimed
+	streamUntouched = iota // nothing was read
+	streamRead             // reading has begun
+	streamReclaimed        // reading is no longer allowed
 )
 
 // NewStreamBody returns the body of r, whose response goes to w.
@@ -36,8 +36,8 @@
 	return ResumeStreamBody(w, r, nil)
 }
 
-// ResumeStreamBody returns the body of r where its beginning has been read. r stays as
-// it is: its server looks at the body while it is handled.
+// ResumeStreamBody returns the body of r, whose beginning has already been read. It does
+// not change r, since the HTTP server uses r.Body while the handler runs.
 func ResumeStreamBody(w http.ResponseWriter, r *http.Request, begin []byte) *StreamBody {
 	if len(begin) == 0 {
 		return &StreamBody{body: r.Body, w: w}
@@ -45,11 +45,11 @@
 	return &StreamBody{body: io.MultiReader(bytes.NewReader(begin), r.Body), w: w}
 }
 
-// open lets the response begin before the body has ended; net/http would otherwise take the rest of
-// the body away. It is called by the handler's goroutine, and only before the body is read: of a body
-// that nobody reads net/http must take the rest before the response.
+// open lets the response begin before the body has been read; otherwise net/http would consume the
+// rest of the body first. The handler's goroutine calls it right before the body is sent and in no
+// other case: net/http must consume a body that nobody reads before it sends the response.
 func (s *StreamBody) open() {
-	_ = http.NewResponseController(s.w).EnableFullDuplex() // a writer that can't do it has no connection to lose
+	_ = http.NewResponseController(s.w).EnableFullDuplex() // a writer without support has no connection that could break
 }
 
 // Read implements io.Reader.
@@ -69,21 +69,22 @@
 // Close implements io.Closer.
 func (s *StreamBody) Close() error { return nil }
 
-// Detach ends the reading of the body and waits until nobody reads it. A handler
-// that aborts its connection calls it before: net/http gives the connection's
-// buffer back then, also while the goroutine that sends the body still reads. A nil body is none.
+// Detach stops all reading of the body and waits until a read in progress has returned.
+// A handler must call it before it aborts its connection: net/http then reuses the
+// connection's buffer even if the goroutine that uploads the body is still reading. On a
+// nil StreamBody it does nothing.
 func (s *StreamBody) Detach(w http.ResponseWriter) {
 	if s == nil {
 		return
 	}
 	s.state.Store(streamReclaimed)
-	_ = http.NewResponseController(w).SetReadDeadline(past) // a writer that can't do it has no connection
+	_ = http.NewResponseController(w).SetReadDeadline(past) // a writer without support has no connection
 	s.reading.Lock()
 	defer s.reading.Unlock()
 }
 
-// Reclaim returns the body for another attempt, or nil when some of it was
-// read. After it, s reads nothing: the goroutine that sends it may outlive the
+// Reclaim returns the body for another attempt, or nil if reading has begun. Reads
+// of s fail from then on, because the goroutine that uploads it may outlive its
 // attempt.
 func (s *StreamBody) Reclaim() *StreamBody {
 	if !s.state.CompareAndSwap(streamUntouched, streamReclaimed) {
--- a/transport/forward/stream_test.go
+++ b/transport/forward/stream_test.go
@@ -11,16 +11,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// On tabla-mesh-grown scale-1, seed 993449683438, a node ended with a panic: a
-// gate's handler had aborted its connection, and net/http had given the
-// connection's buffer back, while a goroutine still read the request's body.
+// When a handler aborts its connection, net/http reuses the connection's buffer. A
+// goroutine that still reads the request's body then makes the process panic.
 func TestDetachedBodyIsNotReadAfterTheHandlerHasAborted(t *testing.T) {
 	closed, ended := make(chan struct{}, 1), make(chan error, 1)
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s := NewStreamBody(w, r)
 		go func() {
 			<-closed
-			time.Sleep(time.Millisecond) // net/http gives the buffer back after it has told
+			time.Sleep(time.Millisecond) // net/http releases the buffer after it has called ConnState
 			_, err := s.Read(make([]byte, 10))
 			ended <- err
 		}()
--- a/transport/forward/timed_test.go
+++ b/transport/forward/timed_test.go
@@ -11,20 +11,21 @@
 	"github.com/shoenig/test/must"
 )
 
-// slowListener lets each connection wait before its handshake can begin.
+// slowListener delays each connection before its handshake can begin.
 type slowListener struct{ net.Listener }
 
 const handshakeDelay = 50 * time.Millisecond
 
+// Accept implements net.Listener.
 func (l slowListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	time.Sleep(handshakeDelay)
 	return c, err
 }
 
-// The time of a handshake is told apart, so that it does not count as the
-// server's own. A request over an idle connection waits for none.
-func TestOpeningIsToldApart(t *testing.T) {
+// The time of a handshake is reported separately, so that it doesn't count as the
+// server's response time. A request on an idle connection needs no handshake.
+func TestConnectTimeIsReportedSeparately(t *testing.T) {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	server.Listener = slowListener{server.Listener}
 	server.StartTLS()
@@ -33,15 +34,15 @@
 	cfg.TLS = &tls.Config{InsecureSkipVerify: true}
 	client := NewClient(cfg)
 	defer client.CloseIdleConnections()
-	var opened []time.Duration
+	var connectTimes []time.Duration
 	for range 2 {
 		req, err := http.NewRequest(http.MethodGet, server.URL, nil)
 		must.NoError(t, err)
-		resp, opening, err := SendTimed(client, req, nil)
+		resp, connectTime, err := SendTimed(client, req, nil)
 		must.NoError(t, err)
 		must.NoError(t, resp.Body.Close())
-		opened = append(opened, opening)
+		connectTimes = append(connectTimes, connectTime)
 	}
-	must.GreaterEq(t, handshakeDelay, opened[0])
-	must.Less(t, opened[0], opened[1])
+	must.GreaterEq(t, handshakeDelay, connectTimes[0])
+	must.Less(t, connectTimes[0], connectTimes[1])
 }
--- a/transport/forward/trip.go
+++ b/transport/forward/trip.go
@@ -8,37 +8,39 @@
 	"time"
 )
 
-// trip is one request on its connection, until the response's body has ended.
-type trip struct {
+// roundTrip is one request and its response on a connection, until the response's
+// body has ended.
+type roundTrip struct {
 	client *Client
 	conn   *clientConn
 	req    *http.Request
-	w      http.ResponseWriter // gets 1xx responses; may be nil
-	start  int64               // bytes written before the request
-	stop   func() bool         // ends the watch over the context
+	w      http.ResponseWriter // receives 1xx responses; may be nil
+	start  int64               // bytes written on the connection before the request
+	stop   func() bool         // stops watching the context
 
-	// upload is set while another goroutine sends the body.
+	// upload is set if another goroutine sends the request's body.
 	upload *upload
-	body   io.ReadCloser // the response's, below the trip itself
-	err    error         // what reading the body ended with
-	// spoiled keeps the connection from being used again.
-	spoiled bool
+	body   io.ReadCloser // the response's body as http.ReadResponse returned it
+	err    error         // the error that ended the reading of body
+	// noReuse prevents reuse of the connection.
+	noReuse bool
 }
 
-// past is a deadline that ends all reading and writing.
+// past is a deadline that makes all pending reads and writes fail.
 var past = time.Unix(1, 0)
 
-func newTrip(c *Client, conn *clientConn, req *http.Request, w http.ResponseWriter) *trip {
-	x := &trip{client: c, conn: conn, req: req, w: w, start: conn.raw.count()}
+// newRoundTrip returns a round trip that is aborted when the request's context ends.
+func newRoundTrip(c *Client, conn *clientConn, req *http.Request, w http.ResponseWriter) *roundTrip {
+	x := &roundTrip{client: c, conn: conn, req: req, w: w, start: conn.raw.count()}
 	x.stop = context.AfterFunc(req.Context(), x.abort)
 	return x
 }
 
-// abort ends all reading and writing of the connection.
-func (x *trip) abort() { _ = x.conn.conn.SetDeadline(past) } // a closed one needs none
+// abort makes all reads and writes of the connection fail.
+func (x *roundTrip) abort() { _ = x.conn.conn.SetDeadline(past) } // fails only on a closed connection
 
 // run writes the request and reads the response's head.
-func (x *trip) run() (*http.Response, error) {
+func (x *roundTrip) run() (*http.Response, error) {
 	if err := x.write(); err != nil {
 		return nil, err
 	}
@@ -47,9 +49,9 @@
 		return nil, err
 	}
 	if x.upload != nil {
-		x.upload.answered()
+		x.upload.cancelWait()
 	}
-	x.conn.idleLimit = statedIdle(resp.Header)
+	x.conn.idleLimit = keepAliveTimeout(resp.Header)
 	if resp.Body == http.NoBody {
 		x.end(!resp.Close)
 		return resp, nil
@@ -59,20 +61,21 @@
 	return resp, nil
 }
 
-// maxInterim bounds the 1xx responses before the response.
-const maxInterim = 16
+// maxHeads is the maximum number of response heads that are read for one request,
+// including those of interim and foreign responses.
+const maxHeads = 16
 
-// read reads the response's head and passes interim ones on.
-func (x *trip) read() (*http.Response, error) {
+// read reads the response's head. It passes on interim responses and skips foreign ones.
+func (x *roundTrip) read() (*http.Response, error) {
 	x.conn.headLeft = maxResponseHead + 1
-	for range maxInterim {
+	for range maxHeads {
 		resp, err := http.ReadResponse(x.conn.br, x.req)
 		if err != nil {
 			return nil, err
 		}
 		switch {
 		case resp.StatusCode == http.StatusSwitchingProtocols:
-			return nil, &ProtocolError{What: "upgrade that nobody asked for"}
+			return nil, &ProtocolError{What: "unrequested protocol upgrade"}
 		case resp.StatusCode >= http.StatusOK && x.foreign(resp):
 			if err := x.skip(resp); err != nil {
 				return nil, err
@@ -89,32 +92,34 @@
 	return nil, &ProtocolError{What: "too many interim responses"}
 }
 
-func (x *trip) foreign(resp *http.Response) bool {
+// foreign reports whether resp belongs to another request.
+func (x *roundTrip) foreign(resp *http.Response) bool {
 	return x.client.cfg.Foreign != nil && x.client.cfg.Foreign(x.req, resp)
 }
 
-// skip reads a response that belongs to another request. A server that sends
-// such ones is not trusted with a further request on this connection.
-func (x *trip) skip(resp *http.Response) error {
-	x.spoiled = true
+// skip reads and discards a response that belongs to another request. The
+// connection is not reused after it, since the server may send more of them.
+func (x *roundTrip) skip(resp *http.Response) error {
+	x.noReuse = true
 	x.conn.headLeft = 0
 	_, err := io.Copy(io.Discard, resp.Body)
-	_ = resp.Body.Close() // it was read to its end
+	_ = resp.Body.Close() // already read to its end
 	x.conn.headLeft = maxResponseHead + 1
 	if err == nil && resp.Close {
-		err = &ProtocolError{What: "the connection ends with the answer to another request"}
+		err = &ProtocolError{What: "connection closed after the response to another request"}
 	}
 	return err
 }
 
-func (x *trip) proceed() {
+// proceed starts the upload of the body after "100 Continue".
+func (x *roundTrip) proceed() {
 	if x.upload != nil {
 		x.upload.proceed()
 	}
 }
 
-// passInterim passes a 1xx response on. "100 Continue" is not passed on: the
-// server sends its own when the body is read.
+// passInterim passes on a 1xx response. The caller must not pass "100 Continue":
+// the HTTP server sends its own when the body is read.
 func passInterim(w http.ResponseWriter, resp *http.Response) {
 	h := w.Header()
 	saved := h.Clone()
@@ -125,21 +130,22 @@
 	CopyHeader(h, saved)
 }
 
-// end gives the connection back, or closes it unless all of the request and
-// its response have passed over it.
-func (x *trip) end(reuse bool) {
-	reuse = reuse && !x.spoiled && (x.upload == nil || x.upload.whole())
-	watched := x.stop()
-	if reuse && watched && !x.conn.leftover() {
+// end returns the connection to the pool if it can be reused, and closes it
+// otherwise. It can be reused if reuse is set, the request was sent completely, its
+// context is still live and no excess bytes were received.
+func (x *roundTrip) end(reuse bool) {
+	reuse = reuse && !x.noReuse && (x.upload == nil || x.upload.complete())
+	contextLive := x.stop()
+	if reuse && contextLive && !x.conn.hasExcessBytes() {
 		x.client.pool.put(x.conn)
 		return
 	}
 	x.conn.close()
 }
 
-// responseBody is a response's body. Its end gives the connection back.
+// responseBody is a response's body. Its end releases the connection.
 type responseBody struct {
-	trip  *trip
+	trip  *roundTrip
 	reuse bool
 	ended atomic.Bool
 }
@@ -157,6 +163,7 @@
 	return n, err
 }
 
+// after returns the error of a read after the end.
 func (b *responseBody) after() error {
 	if b.trip.err != nil {
 		return b.trip.err
@@ -164,7 +171,7 @@
 	return http.ErrBodyReadAfterClose
 }
 
-// Close implements io.Closer. Before the body's end it closes the connection.
+// Close implements io.Closer. If the body has not ended, it closes the connection.
 func (b *responseBody) Close() error {
 	if b.ended.CompareAndSwap(false, true) {
 		b.trip.end(false)
@@ -174,16 +181,17 @@
 
 // HeadSizeError reports a response whose head is too large.
 type HeadSizeError struct {
-	// Limit is the largest size, in bytes.
+	// Limit is the maximum size, in bytes.
 	Limit int64
 }
 
 // Error implements error.
-func (e *HeadSizeError) Error() string { return "the response's head is too large" }
+func (e *HeadSizeError) Error() string { return "response head too large" }
 
-// ProtocolError reports a message that breaks HTTP/1.1 as it is used here.
+// ProtocolError reports a request or response that violates HTTP/1.1 or uses a part
+// of it that is not supported.
 type ProtocolError struct {
-	// What is wrong.
+	// What describes the violation.
 	What string
 }
 
--- a/transport/forward/write.go
+++ b/transport/forward/write.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// framingHeaders are written from the request's own fields.
+// framingHeaders are the headers that are written from the fields of the request,
+// not from its Header.
 var framingHeaders = map[string]bool{
 	"Host":              true,
 	"Content-Length":    true,
@@ -19,37 +20,38 @@
 	"Trailer":           true,
 }
 
-// checkRequest refuses what can't be a valid request line.
+// checkRequest returns an error for CONNECT, which is not supported, and for a method,
+// target or host that can't stand in a request's head.
 func checkRequest(req *http.Request) error {
 	clean := func(s string) bool {
 		return s != "" && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f })
 	}
 	switch {
 	case !clean(req.Method) || req.Method == http.MethodConnect:
-		return &ProtocolError{What: "method"}
+		return &ProtocolError{What: "invalid request method"}
 	case !clean(req.URL.RequestURI()):
-		return &ProtocolError{What: "target"}
+		return &ProtocolError{What: "invalid request target"}
 	case req.Host != "" && !clean(req.Host):
-		return &ProtocolError{What: "host"}
+		return &ProtocolError{What: "invalid Host"}
 	}
 	return nil
 }
 
-// write sends the request. A body that is at hand goes out with the head;
-// another one is sent by a goroutine of its own, because the response may
-// begin before it ends.
-func (x *trip) write() error {
+// write sends the request. A body held in memory is sent with the head. Any other
+// body is uploaded by its own goroutine, because the response may begin before
+// the body has ended.
+func (x *roundTrip) write() error {
 	req := x.req
 	empty := req.Body == nil || req.Body == http.NoBody
 	if err := x.writeHead(empty); err != nil {
 		return err
 	}
-	kept, atHand := req.Body.(*KeptBody)
+	buffered, inMemory := req.Body.(*KeptBody)
 	expects := req.Header["Expect"] != nil
 	switch {
 	case empty:
-	case atHand && !expects && int64(kept.Len()) == req.ContentLength:
-		if _, err := kept.WriteTo(x.conn.bw); err != nil {
+	case inMemory && !expects && int64(buffered.Len()) == req.ContentLength:
+		if _, err := buffered.WriteTo(x.conn.bw); err != nil {
 			return err
 		}
 	default:
@@ -67,13 +69,14 @@
 	return nil
 }
 
-func (x *trip) writeHead(empty bool) error {
+// writeHead writes the request line and the headers. empty means that there is no body.
+func (x *roundTrip) writeHead(empty bool) error {
 	req, bw := x.req, x.conn.bw
 	host := req.Host
 	if host == "" {
 		host = req.URL.Host
 	}
-	// The writer keeps its first error; Flush returns it.
+	// The writer records its first error, which Flush returns.
 	_, _ = bw.WriteString(req.Method)
 	_ = bw.WriteByte(' ')
 	_, _ = bw.WriteString(req.URL.RequestURI())
@@ -82,7 +85,7 @@
 	_, _ = bw.WriteString("\r\n")
 	x.writeFraming(empty)
 	if agent := req.Header["User-Agent"]; len(agent) == 1 && agent[0] == "" {
-		delete(req.Header, "User-Agent") // the mark that there is none
+		delete(req.Header, "User-Agent") // see noUserAgent
 	}
 	if err := req.Header.WriteSubset(bw, framingHeaders); err != nil {
 		return err
@@ -91,11 +94,11 @@
 	return err
 }
 
-// writeFraming writes the headers that say where the body ends.
-func (x *trip) writeFraming(empty bool) {
+// writeFraming writes the headers that determine the length of the body.
+func (x *roundTrip) writeFraming(empty bool) {
 	req, bw := x.req, x.conn.bw
 	switch {
-	case empty && !bodyExpected(req.Method):
+	case empty && !needsLength(req.Method):
 	case empty:
 		_, _ = bw.WriteString("Content-Length: 0\r\n")
 	case req.ContentLength >= 0:
@@ -111,11 +114,13 @@
 	}
 }
 
-// bodyExpected reports whether a request without a body must say so.
-func bodyExpected(method string) bool {
+// needsLength reports whether a request of the method must have a Content-Length even
+// if it has no body.
+func needsLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
+// trailerNames returns the names of the trailers in h that may be sent, sorted.
 func trailerNames(h http.Header) []string {
 	var names []string
 	for name := range h {
@@ -127,42 +132,47 @@
 	return names
 }
 
-// upload sends a request's body while the response may begin.
+// upload sends a request's body from its own goroutine, while the response may
+// already begin.
 type upload struct {
-	trip    *trip
-	expects bool
-	signal  chan bool // whether the body is to be sent
-	// last says that only the last piece was still to be written.
-	last atomic.Bool
-	// result gets how it ended.
+	trip    *roundTrip
+	expects bool      // the request has an Expect header
+	permit  chan bool // whether the server wants the body
+	// lastPiece is set when only the last piece is still to be written.
+	lastPiece atomic.Bool
+	// result receives the error that ended the upload, or nil.
 	result chan error
 }
 
-func newUpload(x *trip, expects bool) *upload {
-	return &upload{trip: x, expects: expects, signal: make(chan bool, 2), result: make(chan error, 1)}
+// newUpload returns an upload that run will perform.
+func newUpload(x *roundTrip, expects bool) *upload {
+	return &upload{trip: x, expects: expects, permit: make(chan bool, 2), result: make(chan error, 1)}
 }
 
-// proceed tells that the server wants the body.
-func (u *upload) proceed() { u.tell(true) }
+// proceed ends the wait for "100 Continue": the body is sent.
+func (u *upload) proceed() { u.decide(true) }
 
-// answered tells that the response has begun.
-func (u *upload) answered() { u.tell(false) }
+// cancelWait ends the wait for "100 Continue" because the response has begun: the
+// body is not sent. It doesn't stop an upload that has begun.
+func (u *upload) cancelWait() { u.decide(false) }
 
-func (u *upload) tell(send bool) {
+// decide reports to run whether the body is to be sent.
+func (u *upload) decide(send bool) {
 	select {
-	case u.signal <- send:
-	default: // it has been told already
+	case u.permit <- send:
+	default: // earlier decisions fill the channel
 	}
 }
 
-// lastPieceWait bounds the wait for the last piece of a body, after the
-// response has ended. It is only the time until a goroutine gets a processor.
+// lastPieceWait is the maximum wait, after the response has ended, until the last
+// piece of the request's body has been written. It only has to cover the time until the
+// goroutine is scheduled.
 const lastPieceWait = 50 * time.Millisecond
 
-// whole reports whether all of the body was sent. It is asked once, when the
-// response has ended.
-func (u *upload) whole() bool {
-	if !u.last.Load() {
+// complete reports whether all of the body was sent. It must be called only once,
+// when the response has ended.
+func (u *upload) complete() bool {
+	if !u.lastPiece.Load() {
 		return false
 	}
 	select {
@@ -180,27 +190,30 @@
 	}
 }
 
+// run sends the body once the server wants it and reports the result.
 func (u *upload) run() {
-	if u.expects && !u.wanted() {
+	if u.expects && !u.awaitContinue() {
 		return
 	}
-	read := &sourceReader{source: u.trip.req.Body}
-	err := u.send(read)
-	if read.err != nil || err == io.ErrUnexpectedEOF {
-		// Without the rest of the body there is nothing to wait for. Where the
-		// server doesn't take the body, it may have answered.
+	source := &sourceReader{source: u.trip.req.Body}
+	err := u.send(source)
+	if source.err != nil || err == io.ErrUnexpectedEOF {
+		// The body's source failed, so the request can't be completed and no
+		// response is due. After a failed write, by contrast, the server may have
+		// responded without reading the body, so the connection stays readable.
 		u.trip.abort()
 	}
 	u.result <- err
 }
 
-// wanted waits until the server wants the body, or for the time after which it
-// is sent unasked. An answer without "100 Continue" means that it does not.
-func (u *upload) wanted() bool {
+// awaitContinue waits for "100 Continue", for at most ContinueTimeout, and reports
+// whether to send the body: after "100 Continue" and after the timeout, but not
+// after a response without "100 Continue" or the end of the context.
+func (u *upload) awaitContinue() bool {
 	t := time.NewTimer(u.trip.client.cfg.ContinueTimeout)
 	defer t.Stop()
 	select {
-	case send := <-u.signal:
+	case send := <-u.permit:
 		return send
 	case <-t.C:
 		return true
@@ -209,7 +222,7 @@
 	}
 }
 
-// send writes the body with its framing, flushing what the caller has sent.
+// send writes the body with its framing. It flushes each piece as the caller sends it.
 func (u *upload) send(body io.Reader) error {
 	x := u.trip
 	buf := buffers.Get().(*[bufferSize]byte)
@@ -240,7 +253,7 @@
 // finish writes the last chunk and the trailers.
 func (u *upload) finish(chunks io.Closer) error {
 	x := u.trip
-	u.last.Store(true)
+	u.lastPiece.Store(true)
 	if err := chunks.Close(); err != nil {
 		return err
 	}
@@ -254,14 +267,14 @@
 	return x.conn.bw.Flush()
 }
 
-// copyExactly copies as many bytes as the request's head has announced, or
-// fails.
+// copyExactly copies the number of bytes that the request's Content-Length states,
+// or returns an error.
 func (u *upload) copyExactly(r io.Reader, buf []byte) error {
 	for n := u.trip.req.ContentLength; n > 0; {
 		read, err := r.Read(buf[:min(int64(len(buf)), n)])
 		n -= int64(read)
 		if n == 0 {
-			u.last.Store(true)
+			u.lastPiece.Store(true)
 		}
 		if _, werr := u.trip.conn.conn.Write(buf[:read]); werr != nil {
 			return werr
@@ -276,8 +289,8 @@
 	return nil
 }
 
-// sourceReader remembers a failure of the body itself, to tell it from one of
-// the connection.
+// sourceReader records an error of the body's source, to distinguish it from an
+// error of the connection.
 type sourceReader struct {
 	source io.Reader
 	err    error
