--- a/transport/forward/client.go
+++ b/transport/forward/client.go
@@ -113,9 +113,9 @@
 	if err := checkRequest(req); err != nil {
 		return nil, 0, &SendError{Err: err}
 	}
-	start := time.Now()
+	connectStart := time.Now()
 	conn, err := c.connect(req)
-	connectTime := time.Since(start)
+	connectTime := time.Since(connectStart)
 	if err != nil {
 		return nil, connectTime, &SendError{Err: causeOf(req.Context(), err)}
 	}
--- a/transport/forward/trip.go
+++ b/transport/forward/trip.go
@@ -191,7 +191,7 @@
 // ProtocolError reports a request or response that violates HTTP/1.1 or uses a part
 // of it that is not supported.
 type ProtocolError struct {
-	// What describes the violation.
+	// What names the violation, or the part of the request that is invalid.
 	What string
 }
 
--- a/transport/forward/write.go
+++ b/transport/forward/write.go
@@ -28,11 +28,11 @@
 	}
 	switch {
 	case !clean(req.Method) || req.Method == http.MethodConnect:
-		return &ProtocolError{What: "invalid request method"}
+		return &ProtocolError{What: "method"}
 	case !clean(req.URL.RequestURI()):
-		return &ProtocolError{What: "invalid request target"}
+		return &ProtocolError{What: "target"}
 	case req.Host != "" && !clean(req.Host):
-		return &ProtocolError{What: "invalid Host"}
+		return &ProtocolError{What: "host"}
 	}
 	return nil
 }
@@ -195,9 +195,9 @@
 	if u.expects && !u.awaitContinue() {
 		return
 	}
-	source := &sourceReader{source: u.trip.req.Body}
-	err := u.send(source)
-	if source.err != nil || err == io.ErrUnexpectedEOF {
+	body := &sourceReader{source: u.trip.req.Body}
+	err := u.send(body)
+	if body.err != nil || err == io.ErrUnexpectedEOF {
 		// The body's source failed, so the request can't be completed and no
 		// response is due. After a failed write, by contrast, the server may have
 		// responded without reading the body, so the connection stays readable.
