--- a/transport/entry/claim.go
+++ b/transport/entry/claim.go
@@ -60,7 +60,7 @@
 	h["Content-Length"] = []string{strconv.Itoa(len(a.Body))}
 	h[outcome.HeaderOutcome] = []string{string(outcome.Answered)}
 	h[outcome.HeaderReplayed] = []string{"1"}
-	return &http.Response{StatusCode: a.Status, Header: h, Body: forward.NewKeptBody(a.Body), ContentLength: int64(len(a.Body))}
+	return &http.Response{StatusCode: a.Status, Header: h, Body: forward.NewBufferedBody(a.Body), ContentLength: int64(len(a.Body))}
 }
 
 // endClaim ends the claim of a request that got no answer.
--- a/transport/entry/exchange.go
+++ b/transport/entry/exchange.go
@@ -148,7 +148,7 @@
 	if !x.kept {
 		body = x.stream
 	} else if len(x.body) > 0 {
-		body = forward.NewKeptBody(x.body)
+		body = forward.NewBufferedBody(x.body)
 	}
 	out := forward.NewRequest(x.ctx, x.r, x.p.cfg.GateScheme, x.last.record.GateAddr, body, x.r.ContentLength)
 	m := &x.plan.match
--- a/transport/forward/kept_body.go
+++ b/transport/forward/kept_body.go
@@ -2,15 +2,16 @@
 
 import "bytes"
 
-// KeptBody is a request body that is held in memory. It is sent together with the head.
-type KeptBody struct{ bytes.Reader }
+// BufferedBody is a body that is held in memory. Client sends it together with the
+// head of a request.
+type BufferedBody struct{ bytes.Reader }
 
-// NewKeptBody returns a body that reads b, which must not be changed.
-func NewKeptBody(b []byte) *KeptBody {
-	k := new(KeptBody)
-	k.Reset(b)
-	return k
+// NewBufferedBody returns a body that reads b, which must not be changed.
+func NewBufferedBody(b []byte) *BufferedBody {
+	body := new(BufferedBody)
+	body.Reset(b)
+	return body
 }
 
 // Close implements io.Closer.
-func (*KeptBody) Close() error { return nil }
+func (*BufferedBody) Close() error { return nil }
--- a/transport/forward/relay.go
+++ b/transport/forward/relay.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// ReadWhole reads a body of exactly len(p) bytes into p and closes it. It also
+// ReadExactly reads a body of exactly len(p) bytes into p and closes it. It also
 // reads the end of the body, which returns the connection to the pool.
-func ReadWhole(body io.ReadCloser, p []byte) error {
+func ReadExactly(body io.ReadCloser, p []byte) error {
 	_, err := io.ReadFull(body, p)
 	if err == nil {
 		var beyond [1]byte
--- a/transport/forward/write.go
+++ b/transport/forward/write.go
@@ -46,7 +46,7 @@
 	if err := x.writeHead(empty); err != nil {
 		return err
 	}
-	buffered, inMemory := req.Body.(*KeptBody)
+	buffered, inMemory := req.Body.(*BufferedBody)
 	expects := req.Header["Expect"] != nil
 	switch {
 	case empty:
--- a/transport/inbound/bulk.go
+++ b/transport/inbound/bulk.go
@@ -106,18 +106,18 @@
 		return nil
 	}
 	body := make([]byte, size)
-	if err := forward.ReadWhole(resp.Body, body); err != nil {
+	if err := forward.ReadExactly(resp.Body, body); err != nil {
 		g.buffered.Add(-size)
 		return err
 	}
-	resp.Body = &bufferedBody{KeptBody: forward.NewKeptBody(body), release: func() { g.buffered.Add(-size) }}
+	resp.Body = &bufferedBody{BufferedBody: forward.NewBufferedBody(body), release: func() { g.buffered.Add(-size) }}
 	return nil
 }
 
 // bufferedBody is a response body in memory. It counts towards maxBufferedTotal until it is
 // closed.
 type bufferedBody struct {
-	*forward.KeptBody
+	*forward.BufferedBody
 	release func()
 }
 
--- a/transport/inbound/gate.go
+++ b/transport/inbound/gate.go
@@ -229,7 +229,7 @@
 	if _, err := io.ReadFull(r.Body, buffered); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	return forward.NewKeptBody(buffered), nil
+	return forward.NewBufferedBody(buffered), nil
 }
 
 // serveSmall serves a request whose response needs no pacing.
--- a/transport/outbound/body.go
+++ b/transport/outbound/body.go
@@ -76,7 +76,7 @@
 	case b.stream != nil:
 		return b.stream, r.ContentLength
 	case len(b.whole) > 0:
-		return forward.NewKeptBody(b.whole), int64(len(b.whole))
+		return forward.NewBufferedBody(b.whole), int64(len(b.whole))
 	}
 	return nil, r.ContentLength
 }
--- a/transport/outbound/keep.go
+++ b/transport/outbound/keep.go
@@ -40,10 +40,10 @@
 	case forward.IsEventStream(resp), resp.ContentLength > most:
 		return nil, false, nil
 	case x.r.Method == http.MethodHead:
-		return nil, true, forward.ReadWhole(resp.Body, nil)
+		return nil, true, forward.ReadExactly(resp.Body, nil)
 	case resp.ContentLength >= 0:
 		body = make([]byte, resp.ContentLength)
-		return body, true, forward.ReadWhole(resp.Body, body)
+		return body, true, forward.ReadExactly(resp.Body, body)
 	}
 	body, err = io.ReadAll(io.LimitReader(resp.Body, most+1))
 	if err != nil {
