--- a/transport/outbound/authorise.go
+++ b/transport/outbound/authorise.go
@@ -11,30 +11,32 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// Quotas lets requests in by the quotas of organisations. Implementations are safe for
+// Quotas enforces the request quotas of organisations. Implementations are safe for
 // concurrent use.
 type Quotas interface {
 	// Take takes a token for one request of an organisation that has a quota. It may wait
-	// for other nodes until ctx ends. Where the quota is used up it returns false and when
-	// to come back. late says that the request can only be answered late: it gets none
-	// that one which can be in time would miss.
-	Take(ctx context.Context, o *route.Organisation, late bool) (after time.Duration, ok bool)
-	// Return gives a token back that was not used: the request was not run.
+	// for other nodes until ctx ends. Where the quota is used up it returns false and the
+	// Retry-After delay. late reports whether the request can only be answered after its
+	// target: it is then given no token that a request still in time would lack.
+	Take(ctx context.Context, o *route.Organisation, late bool) (retryAfter time.Duration, ok bool)
+	// Return gives back a token whose request was not run.
 	Return(o *route.Organisation)
 }
 
-// Currency tells how long what this node knows may still be acted on.
+// Currency is the proof that the configuration in force is recent, so that requests may be
+// authorised by the keys in it.
 type Currency interface {
 	// Left returns for how long the configuration in force is still proved to be recent
 	// enough for requests that show a key; 0 or less when it isn't.
 	Left() time.Duration
-	// Recent reports whether the configuration is proved to be the newest but for what
-	// changed in the last moments: a key that it doesn't hold is then unknown.
+	// Recent reports whether the configuration is proved to be the newest one, except for
+	// changes of the last moments: a key that is missing in it is then unknown.
 	Recent() bool
 }
 
-// authorise finds the organisation of a request that has to show a key, and refuses one
-// that may not be served. The organisation is nil where no key is needed.
+// authorise returns the organisation that the request's key belongs to, or a refusal where
+// the request may not be served. Both are nil where no key is needed and no known one is
+// shown.
 func (p *Proxy) authorise(r *http.Request, t *route.Table, found *route.Route) (*route.Organisation, *refusal) {
 	if !t.Keyed() {
 		return nil, nil
@@ -48,23 +50,24 @@
 	case o != nil:
 		return o, nil
 	case p.cfg.Currency != nil && !p.cfg.Currency.Recent():
-		// The key may be one of a newer configuration: a caller that is told that its key
-		// is unknown doesn't come back, one that is told to wait does.
+		// The key may belong to a newer configuration: callers don't retry after "unknown
+		// key", but they do after a refusal with Retry-After.
 		return nil, p.unproved()
 	}
 	return nil, &refusal{status: http.StatusUnauthorized, reason: outcome.ReasonUnknownKey}
 }
 
-// unproved refuses a request because the configuration isn't proved to be current.
+// unproved returns the refusal for a request that can't be authorised because the
+// configuration isn't proved to be recent.
 func (p *Proxy) unproved() *refusal {
 	return &refusal{
 		status: http.StatusServiceUnavailable, reason: outcome.ReasonUnproved,
-		after: attempt.RetryAfterUnproved(p.rand.Float64()),
+		retryAfter: attempt.RetryAfterUnproved(p.rand.Float64()),
 	}
 }
 
-// stillAuthorised reports whether the request may be sent now. A request may have waited:
-// its key may have been taken away meanwhile, or the proof that it wasn't may have ended.
+// stillAuthorised reports whether the request may be sent now. Since it was authorised, its
+// key may have been revoked, or the proof of the configuration may have expired.
 func (x *exchange) stillAuthorised() bool {
 	t := x.p.cfg.Table()
 	if x.route.Anonymous || !t.Keyed() {
@@ -76,35 +79,37 @@
 	return t.Organisation(x.p.cfg.Dialect.Key(x.r.Header)) != nil
 }
 
-// takeToken takes a token of the organisation's quota for the request.
+// takeToken takes a token from the organisation's quota. It returns a refusal where the
+// quota is used up.
 func (x *exchange) takeToken() *refusal {
 	if !x.limited() {
 		return nil
 	}
-	after, ok := x.charge()
+	retryAfter, ok := x.charge()
 	if ok {
 		return nil
 	}
-	if x.first.Equal(x.began) {
-		x.p.returns.Record(uint64(x.fingerprint), x.first, x.until())
+	if x.firstArrival.Equal(x.arrived) {
+		x.p.refusals.Record(uint64(x.fingerprint), x.firstArrival, x.callerDeadline())
 	}
-	return &refusal{status: http.StatusTooManyRequests, reason: outcome.ReasonRateLimited, after: after}
+	return &refusal{status: http.StatusTooManyRequests, reason: outcome.ReasonRateLimited, retryAfter: retryAfter}
 }
 
-// charge charges one run to the organisation's quota.
-func (x *exchange) charge() (after time.Duration, ok bool) {
+// charge charges one run to the organisation's quota. Where the quota is used up it returns
+// the Retry-After delay and false.
+func (x *exchange) charge() (retryAfter time.Duration, ok bool) {
 	return x.p.cfg.Quotas.Take(x.ctx, x.organisation, !x.inTime(x.p.cfg.Now()))
 }
 
-// returnToken gives the token back of a request that no backend server has run.
+// returnToken gives back the token of a request that no backend server has run.
 func (x *exchange) returnToken() {
 	if worst, _ := x.trail.Worst(); worst == outcome.NotRun && x.failure == nil && x.limited() {
 		x.p.cfg.Quotas.Return(x.organisation)
 	}
 }
 
-// tokenForRepeat reports whether the quota lets the request run once more after an attempt
-// that may have run.
+// tokenForRepeat reports whether the quota allows another attempt. An attempt that may have
+// run has used its token, so the next one takes a new token.
 func (x *exchange) tokenForRepeat() bool {
 	if x.trail.Progress.Last == outcome.NotRun || !x.limited() {
 		return true
@@ -113,12 +118,13 @@
 	return ok
 }
 
-// limited reports whether a quota bounds the request.
+// limited reports whether the request is subject to a quota.
 func (x *exchange) limited() bool {
 	return x.p.cfg.Quotas != nil && x.organisation != nil && x.organisation.Quota != nil
 }
 
-// rank returns the request's importance: its organisation's where that has one.
+// rank returns the request's priority: that of its organisation where it has one, else the
+// route's.
 func (x *exchange) rank() int {
 	if o := x.organisation; o != nil && o.Priority != nil {
 		return *o.Priority
@@ -126,14 +132,14 @@
 	return x.route.Priority
 }
 
-// nameOrganisation puts the name of the organisation in the place of the key, which
-// never leaves the node.
-func (x *exchange) nameOrganisation(h http.Header) {
+// replaceKey replaces the caller's key, which never leaves the node, by the name of its
+// organisation.
+func (x *exchange) replaceKey(h http.Header) {
 	if !x.keyed {
 		return
 	}
 	x.p.cfg.Dialect.StripKey(h)
-	h[outcome.HeaderFingerprint] = []string{x.fingerprint.String()} // it covers the key
+	h[outcome.HeaderFingerprint] = []string{x.fingerprint.String()} // it covers the key, which the gate doesn't get
 	if x.organisation != nil {
 		h[outcome.HeaderOrganisation] = []string{x.organisation.Name}
 	}
@@ -142,8 +148,8 @@
 	}
 }
 
-// boundStart tells the gate until when the request may be handed to the backend server,
-// where the proof of its key ends before its deadline does.
+// boundStart sends the gate the time, in milliseconds, within which the request must be
+// handed to the backend server, where the proof of its key expires before its deadline.
 func (x *exchange) boundStart(h http.Header) {
 	left := x.p.cfg.Currency.Left()
 	if left < x.deadline.Sub(x.p.cfg.Now()) {
--- a/transport/outbound/authorise_test.go
+++ b/transport/outbound/authorise_test.go
@@ -15,14 +15,14 @@
 	"github.com/jacinthgate/jacinthgate/state/route"
 )
 
-// bearer is a dialect whose callers show their key in one header.
-type bearer struct{ plain }
+// bearerDialect is a dialect whose callers send their key in the Authorization header.
+type bearerDialect struct{ plainDialect }
 
-func (bearer) Key(h dialect.Header) string        { return http.Header(h).Get("Authorization") }
-func (bearer) StripKey(h dialect.Header)          { delete(h, "Authorization") }
-func (bearer) Mark(dialect.Header, dialect.Marks) {}
+func (bearerDialect) Key(h dialect.Header) string        { return http.Header(h).Get("Authorization") }
+func (bearerDialect) StripKey(h dialect.Header)          { delete(h, "Authorization") }
+func (bearerDialect) Mark(dialect.Header, dialect.Marks) {}
 
-// proof is a fixed proof of the configuration.
+// proof is a proof of the configuration with fixed values.
 type proof struct {
 	left   time.Duration
 	recent bool
@@ -31,7 +31,7 @@
 func (p proof) Left() time.Duration { return p.left }
 func (p proof) Recent() bool        { return p.recent }
 
-// quota lets a number of requests in.
+// quota has a fixed number of tokens.
 type quota struct{ left int }
 
 func (q *quota) Take(context.Context, *route.Organisation, bool) (time.Duration, bool) {
@@ -46,10 +46,10 @@
 
 const key = "k3y"
 
-// newKeyedProxy returns a proxy whose callers show keys, and whose gates are all g.
+// newKeyedProxy returns a proxy whose configuration requires keys; its requests all go to g.
 func newKeyedProxy(t *testing.T, g http.RoundTripper) *Proxy {
 	p := newProxy(t, model.KindInteractive, 3, g)
-	urgent := 0
+	priority := 0
 	table, err := route.NewTable(route.Config{
 		Version:  2,
 		Services: []route.Service{{Name: "s"}},
@@ -58,28 +58,28 @@
 			Timeout: time.Second, Target: target, Splits: []route.Split{{Service: "s", Weight: 1}},
 		}},
 		Organisations: []route.Organisation{{
-			Name: "firm", Keys: []string{key}, Priority: &urgent, Quota: &model.Rate{PerSecond: 1, Burst: 1},
+			Name: "firm", Keys: []string{key}, Priority: &priority, Quota: &model.Rate{PerSecond: 1, Burst: 1},
 		}},
 	}, route.Policy{})
 	must.NoError(t, err)
 	p.cfg.Table = func() *route.Table { return table }
-	p.cfg.Dialect = bearer{}
+	p.cfg.Dialect = bearerDialect{}
 	return p
 }
 
-func askWith(p *Proxy, shown string) *httptest.ResponseRecorder {
+func getWithKey(p *Proxy, key string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodGet, "http://h/x", nil)
-	if shown != "" {
-		r.Header.Set("Authorization", shown)
+	if key != "" {
+		r.Header.Set("Authorization", key)
 	}
 	p.ServeHTTP(w, r)
 	return w
 }
 
-// What a caller with a known or an unknown key is told depends on how well the
-// configuration is proved: a key that the node doesn't know may be one of a newer version.
-func TestProofDecidesWhatACallerIsTold(t *testing.T) {
+// The response to a known or an unknown key depends on how recently the configuration was
+// proved: a key that is missing in it may belong to a newer version.
+func TestProofDecidesTheStatusForAKey(t *testing.T) {
 	for name, c := range map[string]struct {
 		proof  Currency
 		key    string
@@ -94,69 +94,70 @@
 		"unknown, proved earlier":   {proof{time.Second, false}, "other", 503},
 		"none, just proved":         {proof{time.Second, true}, "", 401},
 	} {
-		p := newKeyedProxy(t, &gates{answer: answered})
+		p := newKeyedProxy(t, &gates{answer: answerAll})
 		p.cfg.Currency = c.proof
-		w := askWith(p, c.key)
+		w := getWithKey(p, c.key)
 		must.Eq(t, c.status, w.Code, must.Sprint(name))
 		must.Eq(t, c.status == 503, w.Header().Get("Retry-After") != "", must.Sprint(name))
 	}
 }
 
-// A request whose key is taken away while it is tried isn't sent again.
+// A request isn't sent again once the proof of the configuration has expired: its key may have
+// been revoked since the first attempt.
 func TestRequestWhoseProofEndsIsNotSentAgain(t *testing.T) {
-	g := &gates{answer: full}
+	g := &gates{answer: refuseAll}
 	p := newKeyedProxy(t, g)
-	p.cfg.Currency = &endingProof{lasts: 2} // one look as it arrives, one before the first send
-	must.Eq(t, 503, askWith(p, key).Code)
-	must.Len(t, 1, g.waits)
+	p.cfg.Currency = &expiringProof{checksLeft: 2} // one check on arrival, one before the first send
+	must.Eq(t, 503, getWithKey(p, key).Code)
+	must.Len(t, 1, g.dueMillis)
 }
 
-// endingProof holds for a number of looks.
-type endingProof struct{ lasts int }
+// expiringProof is a proof that expires after a number of checks.
+type expiringProof struct{ checksLeft int }
 
-func (p *endingProof) Left() time.Duration {
-	if p.lasts--; p.lasts >= 0 {
+func (p *expiringProof) Left() time.Duration {
+	if p.checksLeft--; p.checksLeft >= 0 {
 		return time.Hour
 	}
 	return 0
 }
-func (p *endingProof) Recent() bool { return true }
+func (p *expiringProof) Recent() bool { return true }
 
-// A request beyond the quota is told when to come back and reaches no gate.
-func TestRequestBeyondTheQuotaIsTurnedAwayAtOnce(t *testing.T) {
-	g := &gates{answer: answered}
+// A request over the quota is refused with a Retry-After delay and isn't sent to any gate.
+func TestRequestOverQuotaIsRefusedUnsent(t *testing.T) {
+	g := &gates{answer: answerAll}
 	p := newKeyedProxy(t, g)
 	p.cfg.Quotas = &quota{left: 1}
-	must.Eq(t, 200, askWith(p, key).Code)
-	w := askWith(p, key)
+	must.Eq(t, 200, getWithKey(p, key).Code)
+	w := getWithKey(p, key)
 	must.Eq(t, 429, w.Code)
 	must.Eq(t, "0.250", w.Header().Get("Retry-After"))
-	must.Len(t, 1, g.waits)
+	must.Len(t, 1, g.dueMillis)
 }
 
-// What no backend server has got is not charged.
+// A request that no backend server has received isn't charged to the quota.
 func TestRefusedRequestIsNotCharged(t *testing.T) {
 	q := &quota{left: 1}
-	p := newKeyedProxy(t, &gates{answer: full})
+	p := newKeyedProxy(t, &gates{answer: refuseAll})
 	p.cfg.Quotas = q
-	must.Eq(t, 503, askWith(p, key).Code)
+	must.Eq(t, 503, getWithKey(p, key).Code)
 	must.Eq(t, 1, q.left)
 }
 
-// heads keeps the headers that gates get.
-type heads struct{ got []http.Header }
+// headerRecorder records the headers of the requests sent to gates.
+type headerRecorder struct{ got []http.Header }
 
-func (h *heads) RoundTrip(req *http.Request) (*http.Response, error) {
+func (h *headerRecorder) RoundTrip(req *http.Request) (*http.Response, error) {
 	h.got = append(h.got, req.Header.Clone())
-	return (&gates{answer: answered}).RoundTrip(req)
+	return (&gates{answer: answerAll}).RoundTrip(req)
 }
 
-// The organisation's priority goes before the route's, its name takes the place of the
-// key, and the fingerprint that covers the key is passed on in its place.
-func TestGateIsToldTheOrganisationAndItsPriority(t *testing.T) {
-	h := new(heads)
+// The organisation's priority takes precedence over the route's, and the gate receives the
+// organisation's name and the fingerprint, which covers the key, in place of the key.
+func TestGateReceivesOrganisationAndPriority(t *testing.T) {
+	h := new(headerRecorder)
 	p := newKeyedProxy(t, h)
-	must.Eq(t, 200, askWith(p, key).Code)
+	must.Eq(t, 200, getWithKey(p, key).Code)
 	got := h.got[0]
 	must.Eq(t, "firm", got.Get(outcome.HeaderOrganisation))
 	must.Eq(t, "", got.Get("Authorization"))
@@ -166,13 +167,14 @@
 	must.Eq(t, 0, u.Rank)
 }
 
-// Where the proof ends before the request does, the gate is told until when it may start.
-func TestGateIsToldUntilWhenTheRequestMayStart(t *testing.T) {
+// Where the proof expires before the request's deadline, the gate receives the time within
+// which the request may start.
+func TestGateReceivesTheTimeToStartWithin(t *testing.T) {
 	for left, want := range map[time.Duration]string{400 * time.Millisecond: "400", time.Hour: ""} {
-		h := new(heads)
+		h := new(headerRecorder)
 		p := newKeyedProxy(t, h)
 		p.cfg.Currency = proof{left, true}
-		must.Eq(t, 200, askWith(p, key).Code)
+		must.Eq(t, 200, getWithKey(p, key).Code)
 		must.Eq(t, want, h.got[0].Get(outcome.HeaderStartWithin))
 	}
 }
--- a/transport/outbound/body.go
+++ b/transport/outbound/body.go
@@ -8,69 +8,72 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// requestBody is the body of a caller's request: kept whole where it is small, so
-// that it can be sent again and a slow caller holds no slot, or else a stream.
+// requestBody is the body of a caller's request. A small one is buffered, so that it can be
+// sent again and a slow caller occupies no slot; a larger one is streamed.
 type requestBody struct {
 	whole  []byte
-	stream *forward.StreamBody // nil where the body is kept
-	// begin is the beginning of a stream, where it was read.
-	begin []byte
+	stream *forward.StreamBody // nil where the body is buffered
+	// prefix is the prefix of a stream that was read ahead for the fingerprint.
+	prefix []byte
 }
 
-// readBody reads a body of up to most bytes before anything is sent. The error is
-// that of reading: the caller broke off.
-func readBody(w http.ResponseWriter, r *http.Request, most int64) (requestBody, error) {
+// readBody buffers a body of up to maxBytes bytes before anything is sent to a gate, and
+// prepares a larger one for streaming. It returns an error where reading fails because the
+// caller disconnected.
+func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) (requestBody, error) {
 	switch {
 	case r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0:
 		return requestBody{}, nil
 	case r.Header["Expect"] != nil:
-		return requestBody{stream: forward.NewStreamBody(w, r)}, nil // the caller waits for leave to send it
-	case r.ContentLength > most:
-		return readBegin(w, r)
+		return requestBody{stream: forward.NewStreamBody(w, r)}, nil // the caller waits for "100 Continue"
+	case r.ContentLength > maxBytes:
+		return readPrefix(w, r)
 	case r.ContentLength < 0:
-		return readChunked(w, r, most)
+		return readChunked(w, r, maxBytes)
 	}
 	whole := make([]byte, r.ContentLength)
 	_, err := io.ReadFull(r.Body, whole)
 	return requestBody{whole: whole}, err
 }
 
-// readBegin reads the beginning of a body that is passed on as it comes.
-func readBegin(w http.ResponseWriter, r *http.Request) (requestBody, error) {
-	begin := make([]byte, min(r.ContentLength, forward.FingerprintBytes))
-	if _, err := io.ReadFull(r.Body, begin); err != nil {
+// readPrefix reads the part of a streamed body that the fingerprint covers.
+func readPrefix(w http.ResponseWriter, r *http.Request) (requestBody, error) {
+	prefix := make([]byte, min(r.ContentLength, forward.FingerprintBytes))
+	if _, err := io.ReadFull(r.Body, prefix); err != nil {
 		return requestBody{}, err
 	}
-	return streamed(w, r, begin), nil
+	return streamed(w, r, prefix), nil
 }
 
-// streamed returns the body whose beginning was read as a stream.
-func streamed(w http.ResponseWriter, r *http.Request, begin []byte) requestBody {
-	known := begin[:min(len(begin), forward.FingerprintBytes)]
-	return requestBody{stream: forward.ResumeStreamBody(w, r, begin), begin: known}
+// streamed returns a streamed body that starts with the prefix already read.
+func streamed(w http.ResponseWriter, r *http.Request, prefix []byte) requestBody {
+	known := prefix[:min(len(prefix), forward.FingerprintBytes)]
+	return requestBody{stream: forward.ResumeStreamBody(w, r, prefix), prefix: known}
 }
 
-// readChunked keeps a body of unknown length if it turns out to be small.
-func readChunked(w http.ResponseWriter, r *http.Request, most int64) (requestBody, error) {
-	head, err := io.ReadAll(io.LimitReader(r.Body, most+1))
-	if err != nil || int64(len(head)) <= most {
-		return requestBody{whole: head}, err
+// readChunked reads a body of unknown length: it is buffered if it has at most
+// maxBytes bytes, else streamed.
+func readChunked(w http.ResponseWriter, r *http.Request, maxBytes int64) (requestBody, error) {
+	read, err := io.ReadAll(io.LimitReader(r.Body, maxBytes+1))
+	if err != nil || int64(len(read)) <= maxBytes {
+		return requestBody{whole: read}, err
 	}
-	return streamed(w, r, head), nil
+	return streamed(w, r, read), nil
 }
 
-// known returns the part of the body that was read.
-func (b *requestBody) known() []byte {
+// readSoFar returns the part of the body that has been read, as input of the fingerprint.
+func (b *requestBody) readSoFar() []byte {
 	if b.stream != nil {
-		return b.begin
+		return b.prefix
 	}
 	return b.whole
 }
 
-// kept reports whether the body can be sent again.
-func (b *requestBody) kept() bool { return b.stream == nil }
+// buffered reports whether the whole body is in memory, so that it can be sent again.
+func (b *requestBody) buffered() bool { return b.stream == nil }
 
-// source returns what to send, and its length; -1 is not known.
+// source returns the reader to send the body from and its length in bytes; -1 where the
+// length is unknown.
 func (b *requestBody) source(r *http.Request) (io.ReadCloser, int64) {
 	switch {
 	case b.stream != nil:
@@ -82,26 +85,27 @@
 }
 
 var (
-	expectValue = []string{"100-continue"}
-	askedValue  = []string{"1"}
+	expectValue     = []string{"100-continue"}
+	gateExpectValue = []string{"1"}
 )
 
-// asksFirst reports whether a gate is asked before the body is sent to it: what a gate refuses
-// would else have taken its host's link. A short one costs less than the asking.
-func (b *requestBody) asksFirst() bool { return !b.kept() || len(b.whole) > forward.PieceBytes }
+// needsContinue reports whether the body is sent only after the gate's "100 Continue":
+// otherwise a body that the gate refuses would have used the link of its host for nothing.
+// For a short body the additional round trip costs more than it saves.
+func (b *requestBody) needsContinue() bool { return !b.buffered() || len(b.whole) > forward.PieceBytes }
 
-// expectContinue makes the body wait until the gate has a slot. A request that the gate refuses
-// has then cost no bytes and can be sent elsewhere, since none of its body is consumed.
+// expectContinue holds the body back until the gate has a slot. A refused request has then
+// transferred no body and can be sent to another server, since none of its body is consumed.
 func (x *exchange) expectContinue(h http.Header) {
 	if h["Expect"] != nil {
-		return // set by the caller
+		return // set by the caller itself
 	}
 	h["Expect"] = expectValue
-	h[outcome.HeaderAsked] = askedValue
+	h[outcome.HeaderAsked] = gateExpectValue
 }
 
-// reclaim makes the body ready to be sent again, and reports false where a part
-// of a stream is gone.
+// reclaim makes the body ready to be sent again. It reports false where part of a stream
+// has already been consumed.
 func (b *requestBody) reclaim() bool {
 	if b.stream != nil {
 		b.stream = b.stream.Reclaim()
--- a/transport/outbound/conclude.go
+++ b/transport/outbound/conclude.go
@@ -9,8 +9,9 @@
 	"github.com/jacinthgate/jacinthgate/protocol/outcome"
 )
 
-// again reports whether another attempt is made.
-func (x *exchange) again() bool {
+// prepareRetry reports whether another attempt is to be made, and takes what it needs from
+// the retry budget and the quota.
+func (x *exchange) prepareRetry() bool {
 	if x.ctx.Err() != nil {
 		return false
 	}
@@ -21,7 +22,7 @@
 	x.trail.Progress.Left = x.deadline.Sub(now)
 	switch x.p.cfg.Policy.Next(x.trail.Progress) {
 	case attempt.Resend:
-		return x.room || x.inTime(now)
+		return x.freeSlots || x.inTime(now)
 	case attempt.Repeat:
 		return x.repeat() && x.tokenForRepeat()
 	default:
@@ -29,12 +30,13 @@
 	}
 }
 
-// inTime reports whether the answer can still be in time. One that can't looks for room
-// at one backend server only and leaves what others have to requests that aren't late.
+// inTime reports whether the response can still be in time. After a refusal, a late request
+// isn't sent to a further backend server, unless the one that refused it has free slots: the
+// capacity of the others is left to requests that can be in time.
 func (x *exchange) inTime(now time.Time) bool { return now.Before(x.due()) }
 
-// conclude answers a request that no attempt has answered. Nil means that a
-// backend server's own failure was passed on.
+// conclude ends a request after its last unsuccessful attempt. It relays the error response
+// of a backend server where there is one and returns nil, else it returns the refusal.
 func (x *exchange) conclude() *refusal {
 	if x.failure != nil {
 		x.deliver(x.failure)
@@ -43,8 +45,8 @@
 	worst, reason := x.trail.Worst()
 	switch {
 	case worst == outcome.NotRun:
-		x.p.returns.Record(uint64(x.fingerprint), x.first, x.until())
-		return &refusal{status: http.StatusServiceUnavailable, reason: reason, after: x.comeBack()}
+		x.p.refusals.Record(uint64(x.fingerprint), x.firstArrival, x.callerDeadline())
+		return &refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: x.retryAfter()}
 	case !x.p.cfg.Now().Before(x.deadline):
 		return &refusal{status: http.StatusGatewayTimeout, reason: outcome.ReasonDeadline}
 	default:
@@ -52,19 +54,19 @@
 	}
 }
 
-// comeBack returns when a refused caller should come back.
-func (x *exchange) comeBack() time.Duration {
+// retryAfter returns the Retry-After delay for a refused request.
+func (x *exchange) retryAfter() time.Duration {
 	now := x.p.cfg.Now()
 	switch _, reason := x.trail.Worst(); {
 	case reason == outcome.ReasonQuarantined:
 		return quarantine.RetryAfter
 	case reason == outcome.ReasonNoEndpoint && now.Sub(x.p.started) < attempt.StartTime:
-		return x.p.comeBackToStart(now)
+		return x.p.retryAfterStart(now)
 	}
 	return attempt.RetryAfter(attempt.Refused{
-		Left:      x.until().Sub(now),
+		Left:      x.callerDeadline().Sub(now),
 		Due:       x.due().Sub(now),
-		FreeSlots: x.room,
+		FreeSlots: x.freeSlots,
 		Load:      x.p.cfg.Balance.Load(x.service.Name),
 		Jitter:    x.p.rand.Float64(),
 	})
--- a/transport/outbound/due.go
+++ b/transport/outbound/due.go
@@ -6,17 +6,18 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// work returns the request's sort of work.
-func (x *exchange) work() model.Work {
+// workload returns the request's workload.
+func (x *exchange) workload() model.Work {
 	return model.Work{Kind: x.route.Kind, Rank: x.rank(), Target: x.route.Target}
 }
 
-// until returns until when the caller waits.
-func (x *exchange) until() time.Time { return x.began.Add(x.wait) }
+// callerDeadline returns the time until which the caller waits for a response.
+func (x *exchange) callerDeadline() time.Time { return x.arrived.Add(x.callerWait) }
 
-// due returns when the answer should be there.
+// due returns when the response is due by the route's latency target, at the latest at the
+// deadline.
 func (x *exchange) due() time.Time {
-	due := x.first.Add(x.route.Target)
+	due := x.firstArrival.Add(x.route.Target)
 	if x.deadline.Before(due) {
 		return x.deadline
 	}
--- a/transport/outbound/exchange.go
+++ b/transport/outbound/exchange.go
@@ -19,94 +19,97 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// exchange is one caller's request and its attempts.
+// exchange is the state of one request of a caller across all its attempts.
 type exchange struct {
 	p       *Proxy
 	w       http.ResponseWriter
 	r       *http.Request
 	route   *route.Route
 	service *model.Service
-	// organisation holds the caller's key; nil without one. keyed says that the
-	// configuration knows keys, so that none is passed on.
+	// organisation is the one that the caller's key belongs to; nil where the request shows
+	// no known key. keyed reports whether the configuration has API keys: they are then
+	// stripped from the request.
 	organisation *route.Organisation
 	keyed        bool
-	began        time.Time
-	// first is when the caller's first attempt arrived: its answer is due as long after
-	// that as any.
-	first time.Time
-	// deadline ends the request: the earlier of the caller's and the route's.
-	deadline time.Time
-	ctx      context.Context
-	cancel   context.CancelFunc
-	wait     time.Duration // what the caller said it waits
+	arrived      time.Time
+	// firstArrival is the arrival time of the caller's first attempt at this request: the latency
+	// target counts from there, also after a refusal and a retry by the caller.
+	firstArrival time.Time
+	// deadline is the earlier of the caller's deadline and the route's timeout.
+	deadline   time.Time
+	ctx        context.Context
+	cancel     context.CancelFunc
+	callerWait time.Duration // for how long the caller waits; the route's timeout if not given
 
 	body requestBody
-	// fingerprint is that of what the request asks for.
+	// fingerprint identifies the content of the request: callers retry the same content
+	// under a new request ID.
 	fingerprint suspect.Fingerprint
 	trail       attempt.Trail
-	tried       balance.Exclusions
-	links       pace.Search
-	// called says that a repeated run seems to have made the request: as a call, it is a
-	// repeat itself.
-	called bool
-	// answered says that an attempt was answered.
+	exclusions  balance.Exclusions
+	linkSearch  pace.Search
+	// nestedCall reports whether the request is presumably a nested call of a retry: it then
+	// counts as a repeat itself.
+	nestedCall bool
+	// answered reports whether a response was relayed to the caller.
 	answered bool
-	// member stands for the request among those that expire together.
-	member *attempt.Member
-	// canaried says that an attempt has gone to a version that isn't trusted yet: one is
-	// enough.
-	canaried bool
-	// others says that there is more than one backend server.
-	others bool
-	// room says that the last refusal came from a backend server with free slots.
-	room bool
-	// failure is a backend server's own failure that is kept while another
-	// attempt is made.
-	failure *answer
+	// groupMember is this request's membership in the group of those with the same deadline.
+	groupMember *attempt.Member
+	// triedCanary reports whether an attempt was sent to a version that is on trial in a
+	// roll-out: a request is exposed to one at most once.
+	triedCanary bool
+	// hasAlternatives reports whether there is more than one candidate backend server.
+	hasAlternatives bool
+	// freeSlots reports whether the last refusal came from a backend server with free slots.
+	freeSlots bool
+	// failure is an error response of a backend server, kept while another attempt is
+	// made and relayed if that gets no better one.
+	failure *bufferedResponse
 }
 
-// answer is a whole response of a backend server.
-type answer struct {
+// bufferedResponse is a completely buffered response of a backend server.
+type bufferedResponse struct {
 	resp *http.Response
 	body []byte
 }
 
-func newExchange(p *Proxy, w http.ResponseWriter, r *http.Request, t *route.Table, found *route.Route, began time.Time) *exchange {
-	x := &exchange{p: p, w: w, r: r, route: found, began: began, first: began}
+func newExchange(p *Proxy, w http.ResponseWriter, r *http.Request, t *route.Table, found *route.Route, arrived time.Time) *exchange {
+	x := &exchange{p: p, w: w, r: r, route: found, arrived: arrived, firstArrival: arrived}
 	x.keyed = t.Keyed()
 	x.service = t.Service(found.Pick(p.rand.Float64()))
-	x.deadline = began.Add(found.Timeout)
+	x.deadline = arrived.Add(found.Timeout)
 	x.trail = attempt.NewTrail(found.Repeatable(), found.Attempts)
 	x.ctx, x.cancel = r.Context(), func() {}
 	return x
 }
 
-// run makes attempts until one is answered and relayed, or none may follow.
+// run makes attempts until a response is relayed or no further attempt is allowed. It
+// returns the refusal to send to the caller; nil where a response was written.
 func (x *exchange) run() *refusal {
 	wait, given, err := x.p.cfg.Dialect.Wait(x.r.Header)
 	if err != nil {
 		return &refusal{status: http.StatusBadRequest, reason: outcome.ReasonMalformed}
 	}
-	x.wait = x.route.Timeout
+	x.callerWait = x.route.Timeout
 	if given {
-		x.wait = wait
-		if d := x.began.Add(wait); d.Before(x.deadline) {
+		x.callerWait = wait
+		if d := x.arrived.Add(wait); d.Before(x.deadline) {
 			x.deadline = d
 		}
 	}
-	if refused := x.refuseLate(); refused != nil {
+	if refused := x.refuseAtShutdown(); refused != nil {
 		return refused
 	}
 	x.ctx, x.cancel = context.WithDeadline(x.r.Context(), x.deadline.Add(callerGrace))
 	if x.body, err = readBody(x.w, x.r, x.p.cfg.MaxKept); err != nil {
 		return &refusal{status: http.StatusBadRequest, reason: outcome.ReasonCancelled}
 	}
-	x.fingerprint = forward.Fingerprint(x.r, x.body.known())
-	if first, returned := x.p.returns.FirstAttempt(uint64(x.fingerprint), x.until()); returned {
-		x.first = first
-		x.p.returned.Inc()
+	x.fingerprint = forward.Fingerprint(x.r, x.body.readSoFar())
+	if first, found := x.p.refusals.FirstAttempt(uint64(x.fingerprint), x.callerDeadline()); found {
+		x.firstArrival = first
+		x.p.callerRetries.Inc()
 	}
-	if !x.p.cfg.Now().Before(x.deadline) { // it has waited behind others on its connection
+	if !x.p.cfg.Now().Before(x.deadline) { // it expired behind pipelined requests on its connection
 		x.trail.Forbid(outcome.ReasonDeadline)
 		return x.conclude()
 	}
@@ -120,21 +123,21 @@
 			x.answered = true
 			return nil
 		}
-		if !x.again() {
+		if !x.prepareRetry() {
 			x.returnToken()
 			return x.conclude()
 		}
 	}
 }
 
-// callerGrace is how long past the deadline an answer may still arrive from
-// the gate: the backend server's own late failure tells the caller more.
+// callerGrace is how long after the deadline a response of the gate is still accepted:
+// the backend server's own late failure is more specific than a timeout.
 const callerGrace = 60 * time.Millisecond
 
-// attempt sends the request once and reports whether it was answered.
+// attempt sends the request once and reports whether a response was relayed.
 func (x *exchange) attempt() bool {
-	// Callers ask again under a new identifier at any node: only what is asked for tells
-	// that backend servers have crashed under it before.
+	// Callers retry at any node under a new request ID: only the fingerprint of the
+	// content links the request to earlier crashes of backend servers.
 	if x.p.cfg.Suspects().Quarantined(x.fingerprint) {
 		x.trail.Forbid(outcome.ReasonQuarantined)
 		return false
@@ -146,59 +149,60 @@
 	now := x.p.cfg.Now()
 	choice, err := x.pick(now)
 	if err != nil {
-		x.nobodyLeft()
+		x.noServerLeft()
 		return false
 	}
 	x.trail.Sent()
-	x.tried.Add(choice.Record.Node)
-	resp, opening, err := forward.SendTimed(x.p.way(choice.Record), x.request(choice.Record, now), nil)
+	x.exclusions.Add(choice.Record.Node)
+	resp, opening, err := forward.SendTimed(x.p.transport(choice.Record), x.request(choice.Record, now), nil)
 	took := max(0, x.p.cfg.Now().Sub(now)-opening)
 	if err != nil {
 		x.sendFailed(choice, err, x.p.cfg.Now().Sub(now))
 		return false
 	}
-	return x.take(choice, resp, took)
+	return x.handleResponse(choice, resp, took)
 }
 
-// confine restricts the request to the regions of its route and organisation.
+// confine restricts the request to the regions that its route and its organisation allow.
 func (x *exchange) confine() {
 	var own []model.Region
 	if x.organisation != nil {
 		own = x.organisation.Regions
 	}
-	x.tried.Confine(x.route.Regions, own)
+	x.exclusions.Confine(x.route.Regions, own)
 }
 
-// nobodyLeft notes that there is no further backend server to try.
-func (x *exchange) nobodyLeft() {
-	if x.tried.Confined() && x.trail.Progress.Sends == 0 {
+// noServerLeft records that there is no further backend server to try.
+func (x *exchange) noServerLeft() {
+	if x.exclusions.Confined() && x.trail.Progress.Sends == 0 {
 		x.trail.Forbid(outcome.ReasonNoRegion)
 		return
 	}
 	x.trail.Exhaust()
 }
 
-// pick chooses the backend server for the next send.
+// pick chooses the backend server for the next attempt.
 func (x *exchange) pick(now time.Time) (balance.Choice, error) {
-	want := balance.PickOptions{Work: x.work(), MaxNearWait: max(0, x.due().Sub(now)/patiencePart)}
+	options := balance.PickOptions{Work: x.workload(), MaxNearWait: max(0, x.due().Sub(now)/nearWaitDivisor)}
 	routing := x.p.cfg.Routing().Of(x.service.Name)
-	if c, ok := x.pickCanary(now, routing, want); ok {
+	if c, ok := x.pickCanary(now, routing, options); ok {
 		return c, nil
 	}
 	servers := x.candidates(routing)
-	x.others = len(servers) > 1
+	x.hasAlternatives = len(servers) > 1
 	if x.route.Kind == model.KindBulk {
-		return x.pickLink(now, servers, want)
+		return x.pickLink(now, servers, options)
 	}
-	return x.p.cfg.Balance.PickFor(now, x.service, servers, &x.tried, want)
+	return x.p.cfg.Balance.PickFor(now, x.service, servers, &x.exclusions, options)
 }
 
-// patiencePart is the part of the time until its answer is due that a request
-// may be delayed by the load of a near server before one in another zone is taken:
-// the other half is for the work itself.
-const patiencePart = 2
+// nearWaitDivisor sets how long a request may queue at a loaded server of its own zone
+// before a server in another zone is preferred: the time until the response is due divided
+// by this. The remaining half is left for the processing itself.
+const nearWaitDivisor = 2
 
-// candidates returns the backend servers that any request may be sent to.
+// candidates returns the backend servers that every request may be sent to: those not on
+// trial in a roll-out.
 func (x *exchange) candidates(routing *rollout.Routing) []endpoint.Record {
 	if routing != nil {
 		return routing.Main
@@ -236,30 +240,30 @@
 	h[outcome.HeaderInstance] = v[3:4:4]
 	h[outcome.HeaderCaller] = v[4:5:5]
 	h[outcome.HeaderUrgency] = v[5:6:6]
-	if x.r.ContentLength != 0 { // the gate reads the rest from the head
+	if x.r.ContentLength != 0 { // without a body the gate computes it from the request's head alone
 		h[outcome.HeaderFingerprint] = v[6:7:7]
 	}
 	x.markRepeat(h)
-	x.nameOrganisation(h)
-	if x.mayGoElsewhere(to, now) {
-		h[outcome.HeaderElsewhere] = elsewhereValue
+	x.replaceKey(h)
+	if x.mayReroute(to, now) {
+		h[outcome.HeaderElsewhere] = rerouteValue
 	}
-	if x.route.Kind == model.KindUpload && x.body.asksFirst() && to.Node != x.p.cfg.Self {
+	if x.route.Kind == model.KindUpload && x.body.needsContinue() && to.Node != x.p.cfg.Self {
 		x.expectContinue(h)
 	}
 	if x.route.Kind == model.KindBulk {
-		h[outcome.HeaderLinkWait] = []string{strconv.FormatInt(x.links.Wait(urgency.Left).Milliseconds(), 10)}
+		h[outcome.HeaderLinkWait] = []string{strconv.FormatInt(x.linkSearch.Wait(urgency.Left).Milliseconds(), 10)}
 	}
 	return out
 }
 
-// unreachableAfter is how long opening a connection in vain tells that the way is
-// cut, also where the caller left meanwhile: it takes a few milliseconds, 70
-// between regions.
+// unreachableAfter is how long a connection attempt must have lasted for the server to
+// count as unreachable, even if the caller disconnected meanwhile. Connecting takes a few
+// milliseconds, between regions 70.
 const unreachableAfter = 100 * time.Millisecond
 
-// sendFailed notes an attempt that got no response from the gate in the time that
-// it waited for one.
+// sendFailed records an attempt that received no response from the gate. waited is how
+// long the attempt lasted.
 func (x *exchange) sendFailed(choice balance.Choice, err error, waited time.Duration) {
 	var send *forward.SendError
 	sent := !errors.As(err, &send) || send.Sent
--- a/transport/outbound/exchange_test.go
+++ b/transport/outbound/exchange_test.go
@@ -23,16 +23,18 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// plain is a dialect whose callers say nothing.
-type plain struct{ dialect.Dialect }
+// plainDialect is a dialect whose callers send no timeout and no key.
+type plainDialect struct{ dialect.Dialect }
 
-func (plain) RequestID(dialect.Header) string                  { return "id" }
-func (plain) Wait(dialect.Header) (time.Duration, bool, error) { return 0, false, nil }
+func (plainDialect) RequestID(dialect.Header) string                  { return "id" }
+func (plainDialect) Wait(dialect.Header) (time.Duration, bool, error) { return 0, false, nil }
 
-// gates answers in place of the gates of a fleet and notes in what time each was
-// told to have the request answered, in milliseconds.
+// gates stands in for all gates of a fleet.
 type gates struct {
-	waits  []int
+	// dueMillis holds, for each request received, the time left until its response is due, in
+	// milliseconds.
+	dueMillis []int
+	// answer returns the outcome of the n-th request.
 	answer func(n int) (outcome.Outcome, outcome.Reason)
 }
 
@@ -42,8 +44,8 @@
 	if err != nil {
 		return nil, err
 	}
-	g.waits = append(g.waits, int(u.Left.Milliseconds()))
-	o, reason := g.answer(len(g.waits))
+	g.dueMillis = append(g.dueMillis, int(u.Left.Milliseconds()))
+	o, reason := g.answer(len(g.dueMillis))
 	h := http.Header{outcome.HeaderOutcome: {string(o)}, outcome.HeaderReason: {string(reason)}}
 	status := http.StatusOK
 	if o != outcome.Answered {
@@ -55,7 +57,8 @@
 // target is the latency target of the route under test.
 const target = 600 * time.Millisecond
 
-// newProxy returns a proxy in front of the gates of so many backend servers.
+// newProxy returns a proxy in front of g, which stands in for the gates of the given number of
+// backend servers.
 func newProxy(t *testing.T, kind model.ClassKind, servers int, g http.RoundTripper) *Proxy {
 	t.Helper()
 	table, err := route.NewTable(route.Config{
@@ -72,7 +75,7 @@
 		})
 	}
 	view := records.View()
-	now := time.Now() // it stands still, but contexts end by the real clock
+	now := time.Now() // the proxy's clock stands still, but contexts expire by the real one
 	return New(Config{
 		Self:          "elsewhere",
 		Table:         func() *route.Table { return table },
@@ -84,7 +87,7 @@
 		Budget:        attempt.NewBudget(attempt.BudgetConfig{Ratio: 1, Slack: 10, Window: time.Second, Safety: 1}),
 		Runs:          attempt.NewRuns(),
 		Suspects:      func() *suspect.View { return nil },
-		Dialect:       plain{},
+		Dialect:       plainDialect{},
 		Near:          g,
 		Far:           g,
 		Metrics:       metrics.NewSet(),
@@ -93,61 +96,62 @@
 	})
 }
 
-func ask(p *Proxy) *httptest.ResponseRecorder {
+func get(p *Proxy) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodGet, "http://h/x", nil)
 	p.ServeHTTP(w, r)
 	return w
 }
 
-// full refuses as a gate without a free slot does.
-func full(int) (outcome.Outcome, outcome.Reason) { return outcome.NotRun, outcome.ReasonQueueFull }
+// refuseAll makes gates refuse for a full queue.
+func refuseAll(int) (outcome.Outcome, outcome.Reason) { return outcome.NotRun, outcome.ReasonQueueFull }
 
-// A request that finds no slot asks every server that it may, and tells each
-// what is left until its answer is due.
-func TestEveryServerIsAskedOnce(t *testing.T) {
+// A request that finds no free slot tries each server once, up to the limit of sends, and sends
+// each the time left until the response is due.
+func TestEveryServerIsTriedOnce(t *testing.T) {
 	wait := int(target.Milliseconds())
 	for servers, want := range map[int][]int{9: {wait, wait, wait, wait}, 2: {wait, wait}, 1: {wait}} {
-		g := &gates{answer: full}
-		must.Eq(t, http.StatusServiceUnavailable, ask(newProxy(t, model.KindInteractive, servers, g)).Code)
-		must.Eq(t, want, g.waits)
+		g := &gates{answer: refuseAll}
+		must.Eq(t, http.StatusServiceUnavailable, get(newProxy(t, model.KindInteractive, servers, g)).Code)
+		must.Eq(t, want, g.dueMillis)
 	}
 }
 
-// A large answer comes from the caller's own host where that offers the service,
-// and from another one where the own server can't.
-func TestLargeAnswersComeFromTheOwnHost(t *testing.T) {
+// A large response comes from the caller's own host where that offers the service, and from
+// another host where the own server refuses the request.
+func TestLargeResponsesComeFromTheOwnHost(t *testing.T) {
 	for kind, own := range map[model.ClassKind]bool{model.KindBulk: true, model.KindInteractive: false} {
 		local := 0
 		const requests = 100
 		for range requests {
-			near, far := &gates{answer: answered}, &gates{answer: answered}
+			near, far := &gates{answer: answerAll}, &gates{answer: answerAll}
 			p := newProxy(t, kind, 9, far)
 			p.cfg.Self, p.cfg.Local = "n4", near
-			must.Eq(t, http.StatusOK, ask(p).Code)
-			local += len(near.waits)
+			must.Eq(t, http.StatusOK, get(p).Code)
+			local += len(near.dueMillis)
 		}
 		must.Eq(t, own, local == requests, must.Sprint(kind, local))
 	}
-	near, far := &gates{answer: full}, &gates{answer: answered}
+	near, far := &gates{answer: refuseAll}, &gates{answer: answerAll}
 	p := newProxy(t, model.KindBulk, 9, far)
 	p.cfg.Self, p.cfg.Local = "n4", near
-	must.Eq(t, http.StatusOK, ask(p).Code)
-	must.Len(t, 1, near.waits)
-	must.Len(t, 1, far.waits)
+	must.Eq(t, http.StatusOK, get(p).Code)
+	must.Len(t, 1, near.dueMillis)
+	must.Len(t, 1, far.dueMillis)
 }
 
-func answered(int) (outcome.Outcome, outcome.Reason) { return outcome.Answered, "" }
+// answerAll makes gates respond successfully.
+func answerAll(int) (outcome.Outcome, outcome.Reason) { return outcome.Answered, "" }
 
-// A request that was refused before and can only be late asks one backend server: what
-// others have is left to requests that aren't late. On days under overload 35,047 of
-// 44,115 are in time so, and 33,945 of 44,041 where late ones ask all.
-func TestRequestThatCanOnlyBeLateAsksOneServer(t *testing.T) {
-	g := &gates{answer: full}
+// A request that was refused before and can only be late tries one backend server only. The
+// capacity of the others is left to requests that can be in time: under overload, fewer
+// requests would be in time if late ones tried all servers.
+func TestLateRequestTriesOneServer(t *testing.T) {
+	g := &gates{answer: refuseAll}
 	p := newProxy(t, model.KindInteractive, 9, g)
 	r := httptest.NewRequest(http.MethodGet, "http://h/x", nil)
 	now := p.cfg.Now()
-	p.returns.Record(uint64(forward.Fingerprint(r, nil)), now.Add(-target), now.Add(time.Second))
-	must.Eq(t, http.StatusServiceUnavailable, ask(p).Code)
-	must.Eq(t, []int{0}, g.waits)
+	p.refusals.Record(uint64(forward.Fingerprint(r, nil)), now.Add(-target), now.Add(time.Second))
+	must.Eq(t, http.StatusServiceUnavailable, get(p).Code)
+	must.Eq(t, []int{0}, g.dueMillis)
 }
--- a/transport/outbound/leaving.go
+++ b/transport/outbound/leaving.go
@@ -8,18 +8,19 @@
 	"github.com/jacinthgate/jacinthgate/protocol/outcome"
 )
 
-// Leave refuses from now on what may not be answered before the node ends.
-func (p *Proxy) Leave(end time.Time) { p.end.Store(&end) }
+// Leave makes the proxy refuse every new request whose deadline lies after end, the time
+// at which the node shuts down: its response might not be finished by then.
+func (p *Proxy) Leave(end time.Time) { p.shutdownEnd.Store(&end) }
 
-// refuseLate refuses a request whose deadline is later than the node's end; nil refuses
-// nothing.
-func (x *exchange) refuseLate() *refusal {
-	end := x.p.end.Load()
+// refuseAtShutdown returns a refusal for a request whose deadline lies after the end of the
+// node's shutdown; nil where the request may be served.
+func (x *exchange) refuseAtShutdown() *refusal {
+	end := x.p.shutdownEnd.Load()
 	if end == nil || !x.deadline.After(*end) {
 		return nil
 	}
 	return &refusal{
 		status: http.StatusServiceUnavailable, reason: outcome.ReasonLeaving,
-		after: attempt.RetryAfterShutdown(end.Sub(x.began), x.p.rand.Float64()),
+		retryAfter: attempt.RetryAfterShutdown(end.Sub(x.arrived), x.p.rand.Float64()),
 	}
 }
--- a/transport/outbound/length_test.go
+++ b/transport/outbound/length_test.go
@@ -20,7 +20,8 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// serveRaw answers each connection with the same bytes and closes it.
+// serveRaw starts a server that writes text to each connection after a request and then closes
+// it. It returns the server's address.
 func serveRaw(t *testing.T, text string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -42,7 +43,7 @@
 	return l.Addr().String()
 }
 
-func TestAnswersWithoutALengthReachTheCallerAsTheyAre(t *testing.T) {
+func TestResponsesWithoutLengthReachTheCallerUnchanged(t *testing.T) {
 	own := outcome.HeaderOutcome + ": " + string(outcome.Answered) + "\r\n" + outcome.HeaderReached + ": 1\r\n"
 	client := forward.NewClient(forward.DefaultClientConfig())
 	for name, test := range map[string]struct {
@@ -66,7 +67,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr := serveRaw(t, test.head+own+"\r\n"+test.body)
-			p := proxyOf(t, func(r *http.Request) (*http.Response, error) {
+			p := proxyWithGate(t, func(r *http.Request) (*http.Response, error) {
 				r.URL.Host = addr
 				return client.RoundTrip(r)
 			})
@@ -86,8 +87,10 @@
 	}
 }
 
-func TestAnswerWithoutALengthTellsACallerOfAnOlderProtocolItsLength(t *testing.T) {
-	p := proxyOf(t, func(*http.Request) (*http.Response, error) { return answerOf(-1, strings.NewReader("body")), nil })
+func TestResponseWithoutLengthGetsOneForHTTP10(t *testing.T) {
+	p := proxyWithGate(t, func(*http.Request) (*http.Response, error) {
+		return relayedResponse(-1, strings.NewReader("body")), nil
+	})
 	c, br := connect(t, p)
 	_, err := io.WriteString(c, "GET / HTTP/1.0\r\nHost: h\r\n\r\n")
 	must.NoError(t, err)
@@ -100,33 +103,33 @@
 	must.Eq(t, "body", string(rest))
 }
 
-func TestRequestThatMayRunOnceIsNotSentAgainAfterABrokenAnswer(t *testing.T) {
+func TestNonRepeatableRequestIsNotResentAfterTruncation(t *testing.T) {
 	sends := 0
 	p := newProxy(t, model.KindNonRepeatable, 9, nil)
-	g := gate(func(*http.Request) (*http.Response, error) {
+	g := gateFunc(func(*http.Request) (*http.Response, error) {
 		sends++
-		resp := answerOf(-1, broken{strings.NewReader("part")})
+		resp := relayedResponse(-1, truncatedBody{strings.NewReader("part")})
 		resp.Header.Set("Stamp", "1")
 		return resp, nil
 	})
 	p.cfg.Near, p.cfg.Far, p.cfg.MaxKept = g, g, maxKept
-	w := ask(p)
+	w := get(p)
 	must.Eq(t, http.StatusBadGateway, w.Code)
 	must.Eq(t, "", w.Header().Get("Stamp")+w.Body.String())
 	must.Eq(t, 1, sends)
 }
 
-func TestFailureWithoutALengthIsPassedOnWhereNoOtherAnswerComes(t *testing.T) {
-	p := proxyOf(t, func(*http.Request) (*http.Response, error) {
-		resp := answerOf(-1, strings.NewReader("reason"))
+func TestFailureWithoutLengthIsRelayedWhereAllAttemptsFail(t *testing.T) {
+	p := proxyWithGate(t, func(*http.Request) (*http.Response, error) {
+		resp := relayedResponse(-1, strings.NewReader("reason"))
 		resp.StatusCode = http.StatusInternalServerError
 		return resp, nil
 	})
-	w := ask(p)
+	w := get(p)
 	must.Eq(t, "500 reason", strconv.Itoa(w.Code)+" "+w.Body.String())
 }
 
-// connect returns a caller's connection to a proxy.
+// connect serves p on a listener of its own and returns a caller's connection to it.
 func connect(t *testing.T, p *Proxy) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	s := callers.New(callers.Config{
--- a/transport/outbound/links.go
+++ b/transport/outbound/links.go
@@ -10,35 +10,37 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// pickLink chooses the backend server for a large answer. One from the caller's own
-// host needs no link, so that server is asked first; else a link that is soon free
-// is looked for among the near ones, and then the best of those asked is taken.
-func (x *exchange) pickLink(now time.Time, servers []endpoint.Record, want balance.PickOptions) (balance.Choice, error) {
+// pickLink chooses the backend server for a request with a large response. The server on
+// the caller's own host is tried first, as its response needs no link. The next attempts go
+// to hosts whose link may be free soon, after the first of them only to those of the nearest
+// tier. If these refuse, the one that reported the shortest backlog is tried again, and after
+// that any other server.
+func (x *exchange) pickLink(now time.Time, servers []endpoint.Record, options balance.PickOptions) (balance.Choice, error) {
 	b := x.p.cfg.Balance
-	if c, ok := b.PickNode(now, x.service, servers, x.p.cfg.Self, &x.tried); ok {
+	if c, ok := b.PickNode(now, x.service, servers, x.p.cfg.Self, &x.exclusions); ok {
 		return c, nil
 	}
-	if x.links.TryAnother() {
-		want.NearestOnly = x.links.Tried()
-		c, err := b.PickFor(now, x.service, servers, &x.tried, want)
+	if x.linkSearch.TryAnother() {
+		options.NearestOnly = x.linkSearch.Tried()
+		c, err := b.PickFor(now, x.service, servers, &x.exclusions, options)
 		if err == nil {
 			return c, nil
 		}
 	}
-	if best, ok := x.links.Best(); ok {
+	if best, ok := x.linkSearch.Best(); ok {
 		if c, ok := b.PickNode(now, x.service, servers, best, nil); ok {
 			return c, nil
 		}
 	}
-	want.NearestOnly = false
-	return b.PickFor(now, x.service, servers, &x.tried, want)
+	options.NearestOnly = false
+	return b.PickFor(now, x.service, servers, &x.exclusions, options)
 }
 
-// linkFull notes how long the link of a host that refused is busy.
+// linkFull records the link backlog that the gate of a host reported with its refusal.
 func (x *exchange) linkFull(choice balance.Choice, h http.Header) {
 	millis, given, err := forward.HeaderInt(h, outcome.HeaderLinkBacklog)
 	if err != nil || !given {
-		return // a gate that doesn't tell is not worth asking again
+		return // a host whose backlog isn't known is not tried again
 	}
-	x.links.Refused(choice.Record.Node, time.Duration(millis)*time.Millisecond)
+	x.linkSearch.Refused(choice.Record.Node, time.Duration(millis)*time.Millisecond)
 }
--- a/transport/outbound/links_test.go
+++ b/transport/outbound/links_test.go
@@ -12,12 +12,12 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// busyLinks answers in place of gates whose hosts' links are busy for a while, and
-// notes who was asked.
+// busyLinks stands in for gates whose hosts' links have a backlog, and records which of them
+// were tried.
 type busyLinks struct {
 	backlog map[string]int // by instance, in milliseconds
-	asked   []string
-	waits   []int
+	tried   []string       // instances, in the order of the attempts
+	waits   []int          // longest accepted wait for the link at each attempt, in milliseconds
 }
 
 // RoundTrip implements http.RoundTripper.
@@ -27,7 +27,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b.asked = append(b.asked, id)
+	b.tried = append(b.tried, id)
 	b.waits = append(b.waits, wait)
 	h := http.Header{outcome.HeaderOutcome: {string(outcome.Answered)}}
 	status := http.StatusOK
@@ -41,38 +41,38 @@
 	return &http.Response{StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: h, Body: http.NoBody}, nil
 }
 
-// Two hosts are asked for a link that is soon free; then the one that is sooner
-// free is taken, although it is busy for longer than that.
-func TestLargeAnswerTakesTheLinkThatIsSoonerFree(t *testing.T) {
+// Two hosts are tried for a link that is free soon; then the one with the smaller backlog is
+// taken, although that exceeds the wait accepted at first.
+func TestLargeResponseTakesTheLinkWithTheSmallerBacklog(t *testing.T) {
 	links := &busyLinks{backlog: map[string]int{"i0": 290, "i1": 200, "i2": 250}}
 	p := newProxy(t, model.KindBulk, 3, nil)
 	p.cfg.Far = links
-	must.Eq(t, http.StatusOK, ask(p).Code)
+	must.Eq(t, http.StatusOK, get(p).Code)
 	must.Eq(t, []int{150, 150, 300}, links.waits)
-	first, second := links.asked[0], links.asked[1]
+	first, second := links.tried[0], links.tried[1]
 	must.NotEq(t, first, second)
 	sooner := first
 	if links.backlog[second] < links.backlog[first] {
 		sooner = second
 	}
-	must.Eq(t, sooner, links.asked[2])
+	must.Eq(t, sooner, links.tried[2])
 }
 
-// An answer that would be late from every link is refused at once, after four
-// hosts at most.
-func TestLargeAnswerIsRefusedWhereNoLinkIsFreeInTime(t *testing.T) {
+// A request whose response would be late over every link is refused at once, after trying at
+// most four hosts.
+func TestLargeResponseIsRefusedWhereNoLinkIsFreeInTime(t *testing.T) {
 	links := &busyLinks{backlog: map[string]int{"i0": 900, "i1": 900, "i2": 900, "i3": 900, "i4": 900}}
 	p := newProxy(t, model.KindBulk, 5, nil)
 	p.cfg.Far = links
-	w := ask(p)
+	w := get(p)
 	must.Eq(t, http.StatusServiceUnavailable, w.Code)
 	must.NotEq(t, "", w.Header().Get("Retry-After"))
-	must.Len(t, 4, links.asked)
+	must.Len(t, 4, links.tried)
 }
 
-// Large answers cost most between zones: the zone's own link is taken while it is
-// in time, however many further ones are free.
-func TestLargeAnswerStaysInItsZone(t *testing.T) {
+// Large responses are most expensive between zones: the link in the own zone is taken while it
+// can be in time, even if farther ones are free.
+func TestLargeResponseStaysInItsZone(t *testing.T) {
 	links := &busyLinks{backlog: map[string]int{"i0": 250}}
 	p := newProxy(t, model.KindBulk, 1, nil)
 	records := endpoint.NewTable()
@@ -85,10 +85,10 @@
 	view := records.View()
 	p.cfg.View = func() *endpoint.View { return view }
 	p.cfg.Zone, p.cfg.Near, p.cfg.Far = "z", links, links
-	must.Eq(t, http.StatusOK, ask(p).Code)
-	must.Eq(t, []string{"i0", "i0"}, links.asked)
-	links.backlog["i0"], links.asked = 700, nil
-	must.Eq(t, http.StatusOK, ask(p).Code)
-	must.Eq(t, 3, len(links.asked))
-	must.NotEq(t, "i0", links.asked[2])
+	must.Eq(t, http.StatusOK, get(p).Code)
+	must.Eq(t, []string{"i0", "i0"}, links.tried)
+	links.backlog["i0"], links.tried = 700, nil
+	must.Eq(t, http.StatusOK, get(p).Code)
+	must.Eq(t, 3, len(links.tried))
+	must.NotEq(t, "i0", links.tried[2])
 }
--- a/transport/outbound/proxy.go
+++ b/transport/outbound/proxy.go
@@ -1,6 +1,6 @@
-// Package outbound is where requests of the callers on a host enter the mesh.
-// It finds a request's route, picks a backend server, sends the request to the
-// gate in front of it, and repeats it elsewhere where that is allowed.
+// Package outbound is the entry proxy: it accepts the requests of callers on its
+// host, finds the route, picks a backend server, sends the request to the gate in
+// front of that server, and retries it at other servers where that is allowed.
 package outbound
 
 import (
@@ -27,66 +27,68 @@
 
 // Config configures a Proxy.
 type Config struct {
-	// Self is this node, and Zone its availability zone.
+	// Self is this node's ID, and Zone its availability zone.
 	Self model.NodeID
 	Zone model.Zone
-	// Table returns the routes in force, or nil when none are held. It is one
-	// atomic load.
+	// Table returns the routes in force, or nil before any have been loaded. It is
+	// one atomic load.
 	Table func() *route.Table
-	// View returns the backend servers. It is one atomic load.
+	// View returns the known backend servers. It is one atomic load.
 	View func() *endpoint.View
-	// Routing returns which backend servers requests may be sent to in a roll-out. It is
-	// one atomic load; nil knows of none.
+	// Routing returns, for each service in a roll-out, the backend servers that requests
+	// may be sent to. It is one atomic load; nil means that no service is in a roll-out.
 	Routing func() *rollout.RoutingTable
 	// CallerService returns the service of the backend server on this host.
 	CallerService func() string
 	// Balance picks backend servers.
 	Balance *balance.Picker
-	// Policy bounds the attempts.
+	// Policy decides after each attempt whether another one may follow.
 	Policy attempt.Policy
-	// Budget bounds the repeats.
+	// Budget is the retry budget.
 	Budget *attempt.Budget
-	// Runs are the repeated runs under way at this host's backend server.
+	// Runs holds the retries in progress at this host's backend server: a request that
+	// it sends meanwhile may be a nested call of one of them.
 	Runs *attempt.Runs
-	// Quotas bounds the requests of organisations; nil bounds none.
+	// Quotas enforces the quotas of organisations; nil enforces none.
 	Quotas Quotas
-	// Currency proves the configuration in force; nil where requests need no proof.
+	// Currency is the proof that the configuration in force is recent; nil where requests
+	// need no proof.
 	Currency Currency
-	// Suspects returns the requests that are suspected to crash backend servers. It is
+	// Suspects returns the requests that are suspected of crashing backend servers. It is
 	// one atomic load.
 	Suspects func() *suspect.View
-	// Dialect speaks with callers.
+	// Dialect reads and writes the callers' headers.
 	Dialect dialect.Dialect
-	// Local sends to this host's own gate, Near to those of other nodes in the
-	// zone, and Far to those in other zones.
+	// Local sends to the gate of this host, Near to gates of other nodes in the zone,
+	// and Far to gates in other zones.
 	Local, Near, Far http.RoundTripper
-	// MaxKept is the size up to which bodies are kept, in bytes: of requests,
-	// so that they can be sent again, and of responses, so that one that breaks
-	// off can be replaced.
+	// MaxKept is the size in bytes up to which bodies are buffered: request bodies so
+	// that they can be sent again, response bodies so that a truncated response can be
+	// replaced by that of another attempt.
 	MaxKept int64
-	// Seed seeds the random choices.
+	// Seed seeds the random number generator.
 	Seed uint64
 	// Metrics is the set that metrics are registered in.
 	Metrics *metrics.Set
-	// Logger gets one line for each event, and Details those on attempts that are part of a
-	// request; nil is Logger.
+	// Logger receives one line for each event, and Details the lines about single attempts
+	// of a request; a nil Details is replaced by Logger.
 	Logger, Details log.Logger
 	// Now is the clock.
 	Now func() time.Time
 }
 
-// Proxy serves callers. It is safe for concurrent use.
+// Proxy is the HTTP handler for the callers on this host. It is safe for concurrent use.
 type Proxy struct {
-	cfg      Config
-	rand     *random.Source
-	started  time.Time
-	outcomes sync.Map // label -> *metrics.Counter
-	times    sync.Map // class -> *metrics.Histogram
-	returns  *attempt.RefusalHistory
-	together *attempt.CallGroups
-	returned *metrics.Counter
-	held     atomic.Int64              // bytes of large answers that are read whole
-	end      atomic.Pointer[time.Time] // nil while the node isn't ending
+	cfg           Config
+	rand          *random.Source
+	started       time.Time
+	counters      sync.Map // label -> *metrics.Counter
+	durations     sync.Map // class -> *metrics.Histogram
+	refusals      *attempt.RefusalHistory
+	callGroups    *attempt.CallGroups
+	callerRetries *metrics.Counter
+	bufferedBytes atomic.Int64              // bytes reserved for buffering large responses
+	shutdownEnd   atomic.Pointer[time.Time] // end of the shutdown; nil before BeginShutdown
 }
 
 // New returns a proxy.
@@ -95,21 +97,21 @@
 		cfg.Details = cfg.Logger
 	}
 	return &Proxy{
-		cfg: cfg, rand: random.New(cfg.Seed), started: cfg.Now(), returns: attempt.NewRefusalHistory(), together: attempt.NewCallGroups(),
-		returned: cfg.Metrics.GetOrCreateCounter("jacinthgate_outbound_returned_total"),
+		cfg: cfg, rand: random.New(cfg.Seed), started: cfg.Now(), refusals: attempt.NewRefusalHistory(), callGroups: attempt.NewCallGroups(),
+		callerRetries: cfg.Metrics.GetOrCreateCounter("jacinthgate_outbound_returned_total"),
 	}
 }
 
-// ServeHTTP implements http.Handler. A response that breaks off makes it panic
-// with http.ErrAbortHandler.
+// ServeHTTP implements http.Handler. It panics with http.ErrAbortHandler where a
+// response is truncated after its first byte was sent to the caller.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	began := p.cfg.Now()
+	arrived := p.cfg.Now()
 	if a, ok := w.(interface{ Arrived() time.Time }); ok {
-		began = a.Arrived()
+		arrived = a.Arrived()
 	}
 	table := p.cfg.Table()
 	if table == nil {
-		p.reject(w, r, refusal{status: http.StatusServiceUnavailable, reason: outcome.ReasonNotReady, after: p.comeBackToStart(began)})
+		p.reject(w, r, refusal{status: http.StatusServiceUnavailable, reason: outcome.ReasonNotReady, retryAfter: p.retryAfterStart(arrived)})
 		return
 	}
 	found := table.Lookup(r.Host, r.URL.EscapedPath())
@@ -118,7 +120,7 @@
 		return
 	}
 	if found.Fault != nil {
-		p.reject(w, r, refusal{status: http.StatusServiceUnavailable, reason: outcome.ReasonRouteFault, after: attempt.RetryAfterRouteFault(p.rand.Float64())})
+		p.reject(w, r, refusal{status: http.StatusServiceUnavailable, reason: outcome.ReasonRouteFault, retryAfter: attempt.RetryAfterRouteFault(p.rand.Float64())})
 		return
 	}
 	if n := table.Limits().BodyBytes; n > 0 && r.ContentLength > n {
@@ -130,23 +132,24 @@
 		p.reject(w, r, *refused)
 		return
 	}
-	x := newExchange(p, w, r, table, found, began)
+	x := newExchange(p, w, r, table, found, arrived)
 	x.organisation = organisation
 	defer x.cancel()
 	if refused := x.run(); refused != nil {
 		refused.organisation = x.organisation
 		p.reject(w, r, *refused)
 	}
-	p.observe(found, p.cfg.Now().Sub(began))
+	p.observeDuration(found, p.cfg.Now().Sub(arrived))
 }
 
-// comeBackToStart returns when the caller of a node that starts should come back.
-func (p *Proxy) comeBackToStart(now time.Time) time.Duration {
+// retryAfterStart returns the Retry-After delay for a request that is refused because
+// this node is still starting.
+func (p *Proxy) retryAfterStart(now time.Time) time.Duration {
 	return attempt.RetryAfterStart(now.Sub(p.started), p.rand.Float64())
 }
 
-// way returns what sends to a backend server's gate.
-func (p *Proxy) way(to *endpoint.Record) http.RoundTripper {
+// transport returns the http.RoundTripper for the gate of a backend server.
+func (p *Proxy) transport(to *endpoint.Record) http.RoundTripper {
 	switch {
 	case to.Node == p.cfg.Self:
 		return p.cfg.Local
@@ -156,39 +159,40 @@
 	return p.cfg.Far
 }
 
-// refusal is an answer that doesn't come from a backend server.
+// refusal is a response that this node generates in place of a backend server's.
 type refusal struct {
 	status int
 	reason outcome.Reason
-	// after is when to come back; 0 says nothing about it.
-	after time.Duration
-	// organisation is whose request it is; nil where that isn't known.
+	// retryAfter is the Retry-After delay; 0 sends no Retry-After header.
+	retryAfter time.Duration
+	// organisation is the one that the request belongs to; nil where it isn't known.
 	organisation *route.Organisation
 }
 
-// of returns the name of whose request it is; empty where that isn't known.
-func (f *refusal) of() string {
+// organisationName returns the name of the request's organisation; empty where it isn't
+// known.
+func (f *refusal) organisationName() string {
 	if f.organisation == nil {
 		return ""
 	}
 	return f.organisation.Name
 }
 
-// reject answers with a refusal.
+// reject counts and logs a refusal and writes it to the caller.
 func (p *Proxy) reject(w http.ResponseWriter, r *http.Request, f refusal) {
-	p.count(f.status, f.reason)
+	p.countRefusal(f.status, f.reason)
 	_ = p.cfg.Logger.Log("event", "request_refused", "request", p.cfg.Dialect.RequestID(r.Header),
 		"host", r.Host, "path", r.URL.Path, "version", p.version(), "status", f.status, "reason", f.reason,
-		"organisation", f.of(), "retry_after", f.after)
+		"organisation", f.organisationName(), "retry_after", f.retryAfter)
 	h := w.Header()
-	if f.after > 0 {
-		h["Retry-After"] = []string{strconv.FormatFloat(f.after.Seconds(), 'f', 3, 64)}
+	if f.retryAfter > 0 {
+		h["Retry-After"] = []string{strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 3, 64)}
 	}
 	h["Content-Length"] = []string{"0"}
 	w.WriteHeader(f.status)
 }
 
-// version returns the version of the routes in force; 0 without any.
+// version returns the version of the routes in force; 0 before any have been loaded.
 func (p *Proxy) version() route.Version {
 	if t := p.cfg.Table(); t != nil {
 		return t.Version()
@@ -196,22 +200,22 @@
 	return 0
 }
 
-// count counts the answers that don't come from backend servers.
-func (p *Proxy) count(status int, reason outcome.Reason) {
+// countRefusal counts a refusal by its status and reason.
+func (p *Proxy) countRefusal(status int, reason outcome.Reason) {
 	name := `jacinthgate_outbound_refusals_total{status="` + strconv.Itoa(status) + `",reason="` + string(reason) + `"}`
-	c, ok := p.outcomes.Load(name)
+	c, ok := p.counters.Load(name)
 	if !ok {
-		c, _ = p.outcomes.LoadOrStore(name, p.cfg.Metrics.GetOrCreateCounter(name))
+		c, _ = p.counters.LoadOrStore(name, p.cfg.Metrics.GetOrCreateCounter(name))
 	}
 	c.(*metrics.Counter).Inc()
 }
 
-// observe notes how long a request of a class took.
-func (p *Proxy) observe(r *route.Route, took time.Duration) {
-	h, ok := p.times.Load(r.Kind)
+// observeDuration records the duration of a request in the histogram of its class.
+func (p *Proxy) observeDuration(r *route.Route, took time.Duration) {
+	h, ok := p.durations.Load(r.Kind)
 	if !ok {
 		name := `jacinthgate_outbound_seconds{class="` + string(r.Kind) + `"}`
-		h, _ = p.times.LoadOrStore(r.Kind, p.cfg.Metrics.GetOrCreateHistogram(name))
+		h, _ = p.durations.LoadOrStore(r.Kind, p.cfg.Metrics.GetOrCreateHistogram(name))
 	}
 	h.(*metrics.Histogram).Update(took.Seconds())
 }
--- a/transport/outbound/quarantine_test.go
+++ b/transport/outbound/quarantine_test.go
@@ -14,8 +14,8 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// quarantineOf returns a view in which the request of ask is quarantined.
-func quarantineOf() *suspect.View {
+// quarantinedView returns a view in which the request that get sends is quarantined.
+func quarantinedView() *suspect.View {
 	now := time.Now()
 	table := suspect.NewTable()
 	fingerprint := forward.Fingerprint(httptest.NewRequest(http.MethodGet, "http://h/x", nil), nil)
@@ -23,36 +23,37 @@
 	return table.View()
 }
 
-// It can't be served, so its caller is told at once, and not to come back soon.
+// A quarantined request can't be served: it is refused at once, with a long Retry-After delay.
 func TestQuarantinedRequestIsRefusedUnsent(t *testing.T) {
-	g := &gates{answer: answered}
+	g := &gates{answer: answerAll}
 	p := newProxy(t, model.KindInteractive, 9, g)
-	p.cfg.Suspects = quarantineOf
-	w := ask(p)
+	p.cfg.Suspects = quarantinedView
+	w := get(p)
 	must.Eq(t, http.StatusServiceUnavailable, w.Code)
 	must.Eq(t, "60.000", w.Header().Get("Retry-After"))
-	must.Len(t, 0, g.waits)
+	must.Len(t, 0, g.dueMillis)
 }
 
-// A gate that knows more than the entry node speaks for all.
-func TestGateThatRefusesAQuarantinedRequestIsTheLastOneAsked(t *testing.T) {
+// A gate may have learned of a quarantine before the entry node: its refusal is final, as every
+// other gate would refuse the request as well.
+func TestQuarantineRefusalOfAGateIsFinal(t *testing.T) {
 	g := &gates{answer: func(int) (outcome.Outcome, outcome.Reason) { return outcome.NotRun, outcome.ReasonQuarantined }}
-	w := ask(newProxy(t, model.KindInteractive, 9, g))
+	w := get(newProxy(t, model.KindInteractive, 9, g))
 	must.Eq(t, http.StatusServiceUnavailable, w.Code)
-	must.Len(t, 1, g.waits)
+	must.Len(t, 1, g.dueMillis)
 }
 
-// The third crash may be that of the request's own first attempt: it is not repeated,
-// and its caller is told that it may have run.
-func TestRequestThatIsQuarantinedMeanwhileMayHaveRun(t *testing.T) {
+// The third crash, which causes the quarantine, may be that of the request's own first attempt:
+// it is not repeated, and the status says that it may have run.
+func TestRequestQuarantinedAfterAnAttemptMayHaveRun(t *testing.T) {
 	var view *suspect.View
 	g := &gates{answer: func(int) (outcome.Outcome, outcome.Reason) {
-		view = quarantineOf()
+		view = quarantinedView()
 		return outcome.Unknown, outcome.ReasonBackendFailed
 	}}
 	p := newProxy(t, model.KindInteractive, 9, g)
 	p.cfg.Suspects = func() *suspect.View { return view }
-	w := ask(p)
+	w := get(p)
 	must.Eq(t, http.StatusBadGateway, w.Code)
-	must.Len(t, 1, g.waits)
+	must.Len(t, 1, g.dueMillis)
 }
--- a/transport/outbound/relay.go
+++ b/transport/outbound/relay.go
@@ -10,21 +10,22 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// relay passes a backend server's answer on. It reports false when the answer
-// broke off or tells of a failure and another attempt may still be made.
+// relay sends a backend server's response to the caller. It reports false where it sent
+// nothing: the response was truncated while it was buffered, or it is an error response and
+// another attempt may still be made.
 func (x *exchange) relay(choice balance.Choice, resp *http.Response, result balance.Result) bool {
 	forward.StripNodeHeaders(resp.Header)
-	held := x.hold(resp)
-	defer x.p.held.Add(-held)
-	body, whole, err := x.keep(resp, max(x.p.cfg.MaxKept, held))
+	reserved := x.reserveBuffer(resp)
+	defer x.p.bufferedBytes.Add(-reserved)
+	body, whole, err := x.readWhole(resp, max(x.p.cfg.MaxKept, reserved))
 	if err != nil {
-		result.Outcome = x.cutAs()
+		result.Outcome = x.truncationOutcome()
 		choice.Done(x.p.cfg.Now(), result)
 		x.trail.Note(outcome.Unknown, outcome.ReasonBackendFailed)
 		return false
 	}
 	if !whole {
-		x.passOn(choice, resp, result)
+		x.streamResponse(choice, resp, result)
 		return true
 	}
 	failed := forward.FailedStatus(resp.StatusCode)
@@ -32,59 +33,59 @@
 		result.Outcome = balance.Failed
 	}
 	choice.Done(x.p.cfg.Now(), result)
-	kept := &answer{resp: resp, body: body}
+	buffered := &bufferedResponse{resp: resp, body: body}
 	if failed && x.mayRepeat() {
-		x.failure = kept
+		x.failure = buffered
 		x.trail.Note(outcome.Unknown, outcome.ReasonBackendFailed)
 		return false
 	}
-	x.deliver(kept)
+	x.deliver(buffered)
 	return true
 }
 
-// mayRepeat reports whether a failed answer may be replaced by another one.
+// mayRepeat reports whether another attempt may be made after an error response.
 func (x *exchange) mayRepeat() bool {
 	g := x.trail.Progress
 	g.Last = outcome.Unknown
 	g.Left = x.deadline.Sub(x.p.cfg.Now())
-	return x.body.kept() && x.p.cfg.Policy.Next(g) != attempt.Stop
+	return x.body.buffered() && x.p.cfg.Policy.Next(g) != attempt.Stop
 }
 
-// cutAs says what a broken answer tells about its backend server: nothing, when
-// it was this side that ended it.
-func (x *exchange) cutAs() balance.Outcome {
+// truncationOutcome returns how the balancer counts a truncated response: as a failure of the
+// backend server, unless this node ended the request.
+func (x *exchange) truncationOutcome() balance.Outcome {
 	if x.ctx.Err() != nil {
 		return balance.Cancelled
 	}
 	return balance.Failed
 }
 
-// deliver writes a whole answer to the caller.
-func (x *exchange) deliver(a *answer) {
+// deliver writes a buffered response to the caller.
+func (x *exchange) deliver(b *bufferedResponse) {
 	h := x.w.Header()
-	forward.RemoveHopByHop(a.resp.Header)
-	forward.CopyHeader(h, a.resp.Header)
-	x.w.WriteHeader(a.resp.StatusCode)
-	if len(a.body) == 0 {
+	forward.RemoveHopByHop(b.resp.Header)
+	forward.CopyHeader(h, b.resp.Header)
+	x.w.WriteHeader(b.resp.StatusCode)
+	if len(b.body) == 0 {
 		return
 	}
-	if _, err := x.w.Write(a.body); err != nil {
+	if _, err := x.w.Write(b.body); err != nil {
 		_ = x.p.cfg.Logger.Log("event", "caller_gone", "request", x.p.cfg.Dialect.RequestID(x.r.Header), "err", err)
 	}
 }
 
-// passOn passes an answer that isn't kept on as it comes. Where it breaks off after its first
-// byte was sent, so does the caller's.
-func (x *exchange) passOn(choice balance.Choice, resp *http.Response, result balance.Result) {
+// streamResponse copies a response to the caller as it arrives. Where it is truncated after
+// its first byte was sent, the caller's response is aborted as well.
+func (x *exchange) streamResponse(choice balance.Choice, resp *http.Response, result balance.Result) {
 	body := &forward.CountedBody{ReadCloser: resp.Body}
 	resp.Body = body
 	if w, ok := x.w.(interface{ WaitUntil(done <-chan struct{}) }); ok {
-		w.WaitUntil(x.ctx.Done()) // nothing can be read after it
+		w.WaitUntil(x.ctx.Done()) // once the context has ended, the response can't be read any further
 	}
 	err := forward.Relay(x.w, resp)
 	var cut *forward.TruncatedError
 	if errors.As(err, &cut) {
-		result.Outcome = x.cutAs()
+		result.Outcome = x.truncationOutcome()
 	}
 	choice.Done(x.p.cfg.Now(), result)
 	if err == nil {
--- a/transport/outbound/repeat.go
+++ b/transport/outbound/repeat.go
@@ -12,37 +12,40 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// join counts the request for the bound on repeats and among those that expire together
-// with it. The result ends the latter.
+// join counts the request in the retry budget and adds it to the group of requests with the
+// same deadline. The function that it returns removes it from that group.
 func (x *exchange) join() (leave func()) {
-	if x.called = x.p.cfg.Runs.Call(x.until()); x.called {
-		x.p.cfg.Budget.NestedCall(x.began, x.service.Name)
+	if x.nestedCall = x.p.cfg.Runs.Call(x.callerDeadline()); x.nestedCall {
+		x.p.cfg.Budget.NestedCall(x.arrived, x.service.Name)
 	} else {
-		x.p.cfg.Budget.Request(x.began, x.service.Name)
+		x.p.cfg.Budget.Request(x.arrived, x.service.Name)
 	}
-	x.member = x.p.together.Join(x.began, x.service.Name, x.until())
-	return func() { x.member.Leave(x.answered) }
+	x.groupMember = x.p.callGroups.Join(x.arrived, x.service.Name, x.callerDeadline())
+	return func() { x.groupMember.Leave(x.answered) }
 }
 
 var repeatValue = []string{"1"}
 
-// markRepeat tells the gate where the run would be a repeat.
+// markRepeat sets the header that marks the request as a repeat for the gate: where an
+// earlier attempt has reached a backend server, or where it is a nested call of a retry.
 func (x *exchange) markRepeat(h http.Header) {
-	if x.called || x.trail.Progress.Reached > 0 {
+	if x.nestedCall || x.trail.Progress.Reached > 0 {
 		h[outcome.HeaderRepeat] = repeatValue
 	}
 }
 
-// noteStrain notes what a gate tells of the calls that repeated runs make on its host.
-func (x *exchange) noteStrain(h http.Header) {
+// observeBudgetUsage passes on to the retry budget how much of it the nested calls of
+// retries on the gate's host use, as the gate reports it in its response.
+func (x *exchange) observeBudgetUsage(h http.Header) {
 	percent, _, err := forward.HeaderInt(h, outcome.HeaderStrain)
 	if err != nil {
-		return // a gate that tells something else tells nothing
+		return // an invalid value is ignored
 	}
 	x.p.cfg.Budget.ObserveUsage(x.p.cfg.Now(), x.service.Name, attempt.BudgetUsageOf(percent))
 }
 
-// repeat reports whether the request may be sent to one more backend server.
+// repeat takes a repeat from the retry budget and reports whether it was granted, that is,
+// whether the request may be sent to one more backend server.
 func (x *exchange) repeat() bool {
 	gain, ok := x.gain()
 	if !ok {
@@ -58,15 +61,16 @@
 	return ok
 }
 
-// gain returns what a repeat would be worth. Where other requests expire together with
-// this one it waits until those that were sent with it are refused too or run. It reports
-// false when the caller has left.
+// gain returns the expected gain of a repeat. Where the request's group, presumably calls of
+// the same run, has other members and none of them has failed, it first waits for
+// attempt.SettleTime: by then those sent together with it have been refused as well or run. It
+// reports false when the request has expired or its caller has disconnected meanwhile.
 func (x *exchange) gain() (attempt.Gain, bool) {
 	if !x.p.cfg.Budget.OrdersByGain() {
-		return attempt.GainWhole, true // callers wait for nothing that decides nothing
+		return attempt.GainWhole, true // the gain is not used, so don't delay the caller
 	}
-	x.member.Failing()
-	if all, failing := x.member.Others(); all > 0 && failing == 0 {
+	x.groupMember.Failing()
+	if all, failing := x.groupMember.Others(); all > 0 && failing == 0 {
 		t := time.NewTimer(attempt.SettleTime)
 		defer t.Stop()
 		select {
@@ -75,16 +79,16 @@
 			return attempt.GainPart, false
 		}
 	}
-	_, failing := x.member.Others()
+	_, failing := x.groupMember.Others()
 	return attempt.GainOf(failing), true
 }
 
-// countRepeat counts who got a repeat and who was denied one.
+// countRepeat counts a repeat that was granted or denied, by its gain.
 func (p *Proxy) countRepeat(g attempt.Gain, granted bool) {
 	name := `jacinthgate_outbound_repeats_total{gain="` + g.String() + `",granted="` + strconv.FormatBool(granted) + `"}`
-	c, ok := p.outcomes.Load(name)
+	c, ok := p.counters.Load(name)
 	if !ok {
-		c, _ = p.outcomes.LoadOrStore(name, p.cfg.Metrics.GetOrCreateCounter(name))
+		c, _ = p.counters.LoadOrStore(name, p.cfg.Metrics.GetOrCreateCounter(name))
 	}
 	c.(*metrics.Counter).Inc()
 }
--- a/transport/outbound/repeat_test.go
+++ b/transport/outbound/repeat_test.go
@@ -14,13 +14,13 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// refusing answers in place of gates whose backend servers refuse the first so many
-// requests, and keeps the headers that it got.
+// refusing stands in for gates whose backend servers refuse the first requests, and records
+// the headers that it receives.
 type refusing struct {
-	refuse int
-	strain string
-	// both, unless nil, is how many requests are waited for before any is answered.
-	both *sync.WaitGroup
+	refuse int    // number of requests to refuse
+	usage  string // value of the budget usage header; empty for none
+	// barrier, unless nil, holds the responses back until that many requests have arrived.
+	barrier *sync.WaitGroup
 
 	mu  sync.Mutex
 	got []http.Header
@@ -28,9 +28,9 @@
 
 // RoundTrip implements http.RoundTripper.
 func (g *refusing) RoundTrip(req *http.Request) (*http.Response, error) {
-	if g.both != nil {
-		g.both.Done()
-		g.both.Wait()
+	if g.barrier != nil {
+		g.barrier.Done()
+		g.barrier.Wait()
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -42,14 +42,14 @@
 		h[outcome.HeaderReason] = []string{string(outcome.ReasonBackendRefused)}
 		status = http.StatusServiceUnavailable
 	}
-	if g.strain != "" {
-		h[outcome.HeaderStrain] = []string{g.strain}
+	if g.usage != "" {
+		h[outcome.HeaderStrain] = []string{g.usage}
 	}
 	return &http.Response{StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: h, Body: http.NoBody}, nil
 }
 
-// behind returns a proxy in front of such gates with so many repeats.
-func behind(t *testing.T, g *refusing, repeats float64) *Proxy {
+// proxyWithBudget returns a proxy in front of g whose retry budget allows that many repeats.
+func proxyWithBudget(t *testing.T, g *refusing, repeats float64) *Proxy {
 	t.Helper()
 	p := newProxy(t, model.KindInteractive, 9, nil)
 	p.cfg.Near, p.cfg.Far = g, g
@@ -57,51 +57,51 @@
 	return p
 }
 
-func TestGateIsToldOfARepeat(t *testing.T) {
+func TestRepeatIsMarkedForTheGate(t *testing.T) {
 	g := &refusing{refuse: 1}
-	must.Eq(t, http.StatusOK, ask(behind(t, g, 1)).Code)
+	must.Eq(t, http.StatusOK, get(proxyWithBudget(t, g, 1)).Code)
 	must.Len(t, 2, g.got)
 	must.Nil(t, g.got[0][outcome.HeaderRepeat])
 	must.Eq(t, []string{"1"}, g.got[1][outcome.HeaderRepeat])
 }
 
-func TestCallOfARepeatedRunIsARepeat(t *testing.T) {
+func TestNestedCallOfARetryIsARepeat(t *testing.T) {
 	g := &refusing{refuse: 1}
-	p := behind(t, g, 1)
-	p.cfg.Runs.Begin(p.cfg.Now().Add(time.Second)) // when the route's timeout ends, too
-	must.Eq(t, http.StatusServiceUnavailable, ask(p).Code, must.Sprint("the call took the repeat"))
+	p := proxyWithBudget(t, g, 1)
+	p.cfg.Runs.Begin(p.cfg.Now().Add(time.Second)) // equals the deadline by the route's timeout
+	must.Eq(t, http.StatusServiceUnavailable, get(p).Code, must.Sprint("the nested call itself should have used up the budget"))
 	must.Eq(t, []string{"1"}, g.got[0][outcome.HeaderRepeat])
 }
 
-func TestNothingIsRepeatedWhereCallsOfRepeatedRunsTakeTheBound(t *testing.T) {
-	g := &refusing{strain: "100"}
-	p := behind(t, g, 1000)
+func TestNoRepeatWhereNestedCallsUseUpTheBudget(t *testing.T) {
+	g := &refusing{usage: "100"}
+	p := proxyWithBudget(t, g, 1000)
 	for range 100 {
-		must.Eq(t, http.StatusOK, ask(p).Code)
+		must.Eq(t, http.StatusOK, get(p).Code)
 	}
 	g.got, g.refuse = nil, 1
-	must.Eq(t, http.StatusServiceUnavailable, ask(p).Code)
+	must.Eq(t, http.StatusServiceUnavailable, get(p).Code)
 }
 
-// Two calls of one run are refused, and there is half of what both need: the run fails in
-// any case, so that the repeat is left to another one, which is refused alone.
-func TestRepeatGoesWhereItIsEnough(t *testing.T) {
+// Two calls of one run are refused, and the budget has a repeat for only one of them: the run
+// fails in any case, so the repeat is saved for another run whose only refused call it is.
+func TestRepeatGoesWhereItSuffices(t *testing.T) {
 	g := &refusing{refuse: 2}
-	p := behind(t, g, 1)
-	g.both = new(sync.WaitGroup)
-	g.both.Add(2)
-	var asked sync.WaitGroup
+	p := proxyWithBudget(t, g, 1)
+	g.barrier = new(sync.WaitGroup)
+	g.barrier.Add(2)
+	var calls sync.WaitGroup
 	for range 2 {
-		asked.Go(func() { must.Eq(t, http.StatusServiceUnavailable, ask(p).Code) })
+		calls.Go(func() { must.Eq(t, http.StatusServiceUnavailable, get(p).Code) })
 	}
-	asked.Wait()
-	g.both, g.refuse = nil, 3
-	must.Eq(t, http.StatusOK, askLater(p).Code)
+	calls.Wait()
+	g.barrier, g.refuse = nil, 3
+	must.Eq(t, http.StatusOK, getLater(p).Code)
 }
 
-// askLater sends a request that expires at another moment.
-func askLater(p *Proxy) *httptest.ResponseRecorder {
+// getLater sends a request with another deadline, which thus belongs to another run.
+func getLater(p *Proxy) *httptest.ResponseRecorder {
 	now := p.cfg.Now().Add(time.Second)
 	p.cfg.Now = func() time.Time { return now }
-	return ask(p)
+	return get(p)
 }
--- a/transport/outbound/slow.go
+++ b/transport/outbound/slow.go
@@ -8,19 +8,22 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-var elsewhereValue = []string{"1"}
+var rerouteValue = []string{"1"}
 
-// mayGoElsewhere reports whether the gate may refuse the request since its host is slow at
-// this moment: the first that is asked, where another one can be, and only near, as the way
-// into another zone costs. Large answers go where a link is, what can only be late looks
-// for any room, a body that is passed on as it comes may be gone after one send, and a
-// version that isn't trusted yet gets the few requests that it is judged by.
-func (x *exchange) mayGoElsewhere(to *endpoint.Record, now time.Time) bool {
-	first := x.trail.Progress.Sends == 1 && !x.canaried
-	return first && x.others && to.Zone == x.p.cfg.Zone &&
-		x.route.Kind != model.KindBulk && x.body.kept() && x.inTime(now)
+// mayReroute reports whether the gate may refuse the request because its host is
+// temporarily slow. Only the first gate tried may, where there is another server to try, and
+// only in this node's zone, as crossing into another zone has a cost of its own. It returns
+// false for:
+//   - a large response: its server is chosen by the free capacity of the links;
+//   - a request that can only be late: it takes any free slot;
+//   - a streamed body: one attempt may consume it;
+//   - an attempt at a version on trial, which needs the few requests that it is judged by.
+func (x *exchange) mayReroute(to *endpoint.Record, now time.Time) bool {
+	first := x.trail.Progress.Sends == 1 && !x.triedCanary
+	return first && x.hasAlternatives && to.Zone == x.p.cfg.Zone &&
+		x.route.Kind != model.KindBulk && x.body.buffered() && x.inTime(now)
 }
 
-// sendOn notes that the gate has refused since its host is slow. The server wasn't tried in
-// vain: the request may come back to it, and is then taken.
-func (x *exchange) sendOn(choice balance.Choice) { x.tried.Remove(choice.Record.Node) }
+// allowAgain makes a server eligible again whose gate refused the request because its host
+// is slow: a second attempt there is not marked as reroutable and is therefore accepted.
+func (x *exchange) allowAgain(choice balance.Choice) { x.exclusions.Remove(choice.Record.Node) }
--- a/transport/outbound/slow_test.go
+++ b/transport/outbound/slow_test.go
@@ -14,19 +14,19 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// slowHosts answers in place of gates of which each is on a slow host, and notes which
-// requests might have been sent on.
+// slowHosts stands in for gates that are all on slow hosts, and records for each request
+// whether it was marked as reroutable.
 type slowHosts struct {
 	gates
-	may []bool
+	reroutable []bool
 }
 
 // RoundTrip implements http.RoundTripper.
 func (s *slowHosts) RoundTrip(req *http.Request) (*http.Response, error) {
-	may := req.Header.Get(outcome.HeaderElsewhere) != ""
-	s.may = append(s.may, may)
+	reroutable := req.Header.Get(outcome.HeaderElsewhere) != ""
+	s.reroutable = append(s.reroutable, reroutable)
 	s.answer = func(int) (outcome.Outcome, outcome.Reason) {
-		if may {
+		if reroutable {
 			return outcome.NotRun, outcome.ReasonHostSlow
 		}
 		return outcome.Answered, ""
@@ -34,21 +34,22 @@
 	return s.gates.RoundTrip(req)
 }
 
-// A request is sent on from a slow host once: where all hosts are slow it is served by
-// the second, and where there is one by that.
-func TestRequestIsSentOnFromASlowHostOnce(t *testing.T) {
+// A request is rerouted from a slow host only once: where all hosts are slow, the second one
+// serves it, and a single one serves it at once.
+func TestRequestIsReroutedFromASlowHostOnce(t *testing.T) {
 	for servers, want := range map[int][]bool{9: {true, false}, 2: {true, false}, 1: {false}} {
 		s := &slowHosts{}
 		p := newProxy(t, model.KindInteractive, servers, &s.gates)
 		p.cfg.Near, p.cfg.Far, p.cfg.Zone = s, s, "z"
-		must.Eq(t, http.StatusOK, ask(p).Code)
-		must.Eq(t, want, s.may, must.Sprint(servers))
+		must.Eq(t, http.StatusOK, get(p).Code)
+		must.Eq(t, want, s.reroutable, must.Sprint(servers))
 	}
 }
 
-// What can only be late looks for any room, a large answer for a link, the way into another
-// zone isn't gone twice, and a body that comes as a stream can't be sent again.
-func TestRequestThatGainsNothingIsNotSentOn(t *testing.T) {
+// A request that can only be late takes any free slot, the server for a large response is
+// chosen by its link, a request into another zone would pay for the crossing twice, and a
+// streamed body can't be sent again.
+func TestRequestThatGainsNothingIsNotRerouted(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind model.ClassKind
 		zone model.Zone
@@ -65,7 +66,7 @@
 		p.cfg.Near, p.cfg.Far, p.cfg.Zone = s, s, c.zone
 		if c.late {
 			r, now := httptest.NewRequest(http.MethodGet, "http://h/x", nil), p.cfg.Now()
-			p.returns.Record(uint64(forward.Fingerprint(r, nil)), now.Add(-target), now.Add(time.Second))
+			p.refusals.Record(uint64(forward.Fingerprint(r, nil)), now.Add(-target), now.Add(time.Second))
 		}
 		r := httptest.NewRequest(http.MethodGet, "http://h/x", nil)
 		if c.body {
@@ -75,16 +76,17 @@
 		w := httptest.NewRecorder()
 		p.ServeHTTP(w, r)
 		must.Eq(t, http.StatusOK, w.Code)
-		must.Eq(t, []bool{false}, s.may, must.Sprint(name))
+		must.Eq(t, []bool{false}, s.reroutable, must.Sprint(name))
 	}
 }
 
-// The server that refused isn't tried in vain: it takes the request where no other can.
-func TestSlowHostTakesWhatNoOtherCan(t *testing.T) {
-	n, asked := 0, make(map[string]int)
+// The server whose slow host refused the request stays eligible and is tried again where no
+// other server accepts the request.
+func TestSlowHostStaysEligible(t *testing.T) {
+	n, sends := 0, make(map[string]int)
 	g := roundTrip(func(req *http.Request) (*http.Response, error) {
 		n++
-		asked[req.Header.Get(outcome.HeaderInstance)]++
+		sends[req.Header.Get(outcome.HeaderInstance)]++
 		reason := outcome.ReasonQueueFull
 		if n == 1 {
 			reason = outcome.ReasonHostSlow
@@ -93,12 +95,12 @@
 	})
 	p := newProxy(t, model.KindInteractive, 2, &gates{})
 	p.cfg.Near, p.cfg.Far, p.cfg.Zone = g, g, "z"
-	must.Eq(t, http.StatusServiceUnavailable, ask(p).Code)
+	must.Eq(t, http.StatusServiceUnavailable, get(p).Code)
 	must.Eq(t, 3, n)
-	must.MapLen(t, 2, asked)
+	must.MapLen(t, 2, sends)
 }
 
-// roundTrip is a function as an http.RoundTripper.
+// roundTrip is a function that serves as http.RoundTripper.
 type roundTrip func(*http.Request) (*http.Response, error)
 
 // RoundTrip implements http.RoundTripper.
--- a/transport/outbound/take.go
+++ b/transport/outbound/take.go
@@ -9,17 +9,18 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// take reads the gate's response and reports whether it answers the request.
-func (x *exchange) take(choice balance.Choice, resp *http.Response, took time.Duration) bool {
+// handleResponse evaluates the gate's response and reports whether a backend server's
+// response in it was relayed to the caller.
+func (x *exchange) handleResponse(choice balance.Choice, resp *http.Response, took time.Duration) bool {
 	h := resp.Header
-	x.noteStrain(h)
-	result := balance.Result{Latency: took, Work: x.work(), MeanServiceTime: typical(h)}
+	x.observeBudgetUsage(h)
+	result := balance.Result{Latency: took, Work: x.workload(), MeanServiceTime: reportedServiceTime(h)}
 	if l, err := balance.ParseLoad(h.Get(outcome.HeaderLoad)); err == nil {
 		result.Load = &l
 	}
 	if h[outcome.HeaderReached] != nil {
 		x.trail.Reached()
-		x.earnCanary(choice)
+		x.creditCanary(choice)
 	}
 	if outcome.Outcome(h.Get(outcome.HeaderOutcome)) == outcome.Answered {
 		return x.relay(choice, resp, result)
@@ -29,20 +30,20 @@
 	result.Outcome = balance.Failed
 	if outcome.Outcome(h.Get(outcome.HeaderOutcome)) == outcome.NotRun {
 		out = outcome.NotRun
-		result.Outcome = refusedAs(reason)
+		result.Outcome = refusalOutcome(reason)
 	}
-	x.room = reason == outcome.ReasonBackendRefused && result.Load != nil && result.Load.Used < result.Load.Slots
+	x.freeSlots = reason == outcome.ReasonBackendRefused && result.Load != nil && result.Load.Used < result.Load.Slots
 	switch reason {
 	case outcome.ReasonLinkFull:
 		x.linkFull(choice, h)
 	case outcome.ReasonHostSlow:
-		x.sendOn(choice)
+		x.allowAgain(choice)
 	}
 	forward.Drain(resp)
 	choice.Done(x.p.cfg.Now(), result)
 	x.trail.Note(out, reason)
 	if reason == outcome.ReasonQuarantined {
-		x.trail.Forbid(reason) // this node doesn't know it yet; another gate would say the same
+		x.trail.Forbid(reason) // not yet in this node's view; another gate would refuse it as well
 	}
 	_ = x.p.cfg.Details.Log("event", "attempt_failed", "request", x.p.cfg.Dialect.RequestID(x.r.Header),
 		"route", x.route.Name, "node", choice.Record.Node, "instance", choice.Record.Instance, "outcome", out,
@@ -51,19 +52,21 @@
 	return false
 }
 
-// typical returns what the gate says that such requests take; 0 where it doesn't.
-func typical(h http.Header) time.Duration {
+// reportedServiceTime returns the mean service time of such requests that the gate reports;
+// 0 where it reports none.
+func reportedServiceTime(h http.Header) time.Duration {
 	micros, given, err := forward.HeaderInt(h, outcome.HeaderTypical)
 	if err != nil || !given {
-		return 0 // an older gate, or none: the request's own latency stands in
+		return 0 // an older gate, or none: the request's own latency is used instead
 	}
 	return time.Duration(micros) * time.Microsecond
 }
 
-// refusedAs says what a gate's refusal tells about its backend server: nothing,
-// where the reason lies with the request or with the host's link, and nothing
-// beyond the load that comes with it, where there are too many requests.
-func refusedAs(reason outcome.Reason) balance.Outcome {
+// refusalOutcome returns how the balancer counts a gate's refusal. It is balance.Cancelled,
+// which doesn't count against the backend server, where the reason lies with the request or
+// the host's link, and also where there are too many requests: the load in the response
+// shows that already.
+func refusalOutcome(reason outcome.Reason) balance.Outcome {
 	switch reason {
 	case outcome.ReasonDeadline, outcome.ReasonCancelled, outcome.ReasonLinkFull, outcome.ReasonHostSlow,
 		outcome.ReasonQueueFull, outcome.ReasonQuarantined, outcome.ReasonWithdrawn, outcome.ReasonEvacuated:
--- a/transport/outbound/turn_test.go
+++ b/transport/outbound/turn_test.go
@@ -16,8 +16,9 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// answerOf returns a backend server's answer, as a gate passes it on.
-func answerOf(length int64, body io.Reader) *http.Response {
+// relayedResponse returns a backend server's response as a gate relays it. A negative length stands
+// for an unknown one.
+func relayedResponse(length int64, body io.Reader) *http.Response {
 	h := http.Header{outcome.HeaderOutcome: {string(outcome.Answered)}, outcome.HeaderReached: {"1"}}
 	if length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
@@ -28,37 +29,38 @@
 	}
 }
 
-// untilDone reads until a context ends, as a connection with a deadline does.
-type untilDone struct {
+// contextReader is a reader that fails once its context has ended, as a connection with a
+// deadline does.
+type contextReader struct {
 	ctx context.Context
 	io.Reader
 }
 
-func (r untilDone) Read(p []byte) (int, error) {
+func (r contextReader) Read(p []byte) (int, error) {
 	if err := r.ctx.Err(); err != nil {
 		return 0, err
 	}
 	return r.Reader.Read(p)
 }
 
-// gate is a http.RoundTripper.
-type gate func(*http.Request) (*http.Response, error)
+// gateFunc is a function that serves as http.RoundTripper.
+type gateFunc func(*http.Request) (*http.Response, error)
 
-func (g gate) RoundTrip(r *http.Request) (*http.Response, error) { return g(r) }
+func (g gateFunc) RoundTrip(r *http.Request) (*http.Response, error) { return g(r) }
 
-// maxKept is the size up to which the proxies under test keep answers, in bytes.
+// maxKept is the size up to which the proxies under test buffer bodies, in bytes.
 const maxKept = 1 << 10
 
-// proxyOf returns a proxy in front of such a gate.
-func proxyOf(t *testing.T, g gate) *Proxy {
+// proxyWithGate returns a proxy whose requests all go to g.
+func proxyWithGate(t *testing.T, g gateFunc) *Proxy {
 	p := newProxy(t, model.KindInteractive, 9, nil)
 	p.cfg.Near, p.cfg.Far, p.cfg.MaxKept = g, g, maxKept
 	return p
 }
 
-// askInTurn sends GET requests one behind another on a connection and returns the answers'
-// bodies, up to the first one that isn't whole.
-func askInTurn(t *testing.T, p *Proxy, paths ...string) []string {
+// pipeline pipelines GET requests on one connection and returns the bodies of the responses,
+// up to the first one that is incomplete.
+func pipeline(t *testing.T, p *Proxy, paths ...string) []string {
 	t.Helper()
 	c, br := connect(t, p)
 	var all strings.Builder
@@ -67,11 +69,12 @@
 	}
 	_, err := io.WriteString(c, all.String())
 	must.NoError(t, err)
-	return bodies(br, len(paths))
+	return readBodies(br, len(paths))
 }
 
-// bodies reads so many answers.
-func bodies(br *bufio.Reader, n int) []string {
+// readBodies reads up to n responses and returns their bodies, up to the first one that is
+// incomplete.
+func readBodies(br *bufio.Reader, n int) []string {
 	var got []string
 	for range n {
 		resp, err := http.ReadResponse(br, nil)
@@ -87,69 +90,69 @@
 	return got
 }
 
-func TestReadyAnswersAreDeliveredWhenTheirTurnComesLate(t *testing.T) {
-	late := make(chan struct{}) // the deadline of the second request is over, or it was handled
-	p := proxyOf(t, func(r *http.Request) (*http.Response, error) {
+func TestBufferedResponsesAreDeliveredAfterTheirDeadline(t *testing.T) {
+	late := make(chan struct{}) // closed when the second request has expired or been handled
+	p := proxyWithGate(t, func(r *http.Request) (*http.Response, error) {
 		switch r.URL.Path {
 		case "/slow":
 			<-late
 		case "/no-length":
 			context.AfterFunc(r.Context(), func() { close(late) })
-			return answerOf(-1, untilDone{r.Context(), strings.NewReader(r.URL.Path)}), nil
+			return relayedResponse(-1, contextReader{r.Context(), strings.NewReader(r.URL.Path)}), nil
 		}
-		return answerOf(int64(len(r.URL.Path)), strings.NewReader(r.URL.Path)), nil
+		return relayedResponse(int64(len(r.URL.Path)), strings.NewReader(r.URL.Path)), nil
 	})
 	want := []string{"/slow", "/no-length", "/behind"}
-	must.Eq(t, want, askInTurn(t, p, want...))
+	must.Eq(t, want, pipeline(t, p, want...))
 }
 
-func TestLargeAnswerThatMissesItsTurnTakesNoOtherAlong(t *testing.T) {
+func TestExpiredLargeResponseDoesNotCutPipelinedOnes(t *testing.T) {
 	late := make(chan struct{})
 	large := strings.Repeat("x", 1<<20)
-	p := proxyOf(t, func(r *http.Request) (*http.Response, error) {
+	p := proxyWithGate(t, func(r *http.Request) (*http.Response, error) {
 		switch r.URL.Path {
 		case "/slow":
 			<-late
 		case "/large":
 			context.AfterFunc(r.Context(), func() { close(late) })
-			return answerOf(int64(len(large)), untilDone{r.Context(), strings.NewReader(large)}), nil
+			return relayedResponse(int64(len(large)), contextReader{r.Context(), strings.NewReader(large)}), nil
 		}
-		return answerOf(int64(len(r.URL.Path)), strings.NewReader(r.URL.Path)), nil
+		return relayedResponse(int64(len(r.URL.Path)), strings.NewReader(r.URL.Path)), nil
 	})
-	must.Eq(t, []string{"/slow", "", "/behind"}, askInTurn(t, p, "/slow", "/large", "/behind"))
+	must.Eq(t, []string{"/slow", "", "/behind"}, pipeline(t, p, "/slow", "/large", "/behind"))
 }
 
-func TestLargeAnswerThatBreaksOffTakesNoneBehindItAlong(t *testing.T) {
+func TestTruncatedLargeResponseDoesNotCutPipelinedOnes(t *testing.T) {
 	behind := make(chan struct{})
-	p := proxyOf(t, func(r *http.Request) (*http.Response, error) {
+	p := proxyWithGate(t, func(r *http.Request) (*http.Response, error) {
 		if r.URL.Path != "/large" {
 			close(behind)
-			return answerOf(int64(len(r.URL.Path)), strings.NewReader(r.URL.Path)), nil
+			return relayedResponse(int64(len(r.URL.Path)), strings.NewReader(r.URL.Path)), nil
 		}
 		<-behind
-		return answerOf(4*maxKept, broken{strings.NewReader("part")}), nil
+		return relayedResponse(4*maxKept, truncatedBody{strings.NewReader("part")}), nil
 	})
 	p.cfg.Policy.MaxSends = 1
-	must.Eq(t, []string{"", "/behind"}, askInTurn(t, p, "/large", "/behind"))
+	must.Eq(t, []string{"", "/behind"}, pipeline(t, p, "/large", "/behind"))
 }
 
-func TestNoRequestIsPassedOnBehindAnAnswerThatMayBreakOff(t *testing.T) {
-	sent, passedOn := make(chan struct{}), make(chan struct{})
-	p := proxyOf(t, func(r *http.Request) (*http.Response, error) {
+func TestNoRequestIsSentBehindAStreamedResponse(t *testing.T) {
+	sent, reachedGate := make(chan struct{}), make(chan struct{})
+	p := proxyWithGate(t, func(r *http.Request) (*http.Response, error) {
 		if r.URL.Path == "/behind" {
-			close(passedOn)
+			close(reachedGate)
 		}
 		body, feed := io.Pipe()
 		go func() {
 			_, _ = io.WriteString(feed, strings.Repeat("x", 6*maxKept))
 			<-sent
 			select {
-			case <-passedOn:
+			case <-reachedGate:
 			case <-time.After(50 * time.Millisecond):
 			}
 			_ = feed.CloseWithError(io.ErrUnexpectedEOF)
 		}()
-		return answerOf(8*maxKept, body), nil
+		return relayedResponse(8*maxKept, body), nil
 	})
 	c, br := connect(t, p)
 	_, err := io.WriteString(c, "GET /large HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -159,18 +162,18 @@
 	_, err = io.WriteString(c, "GET /behind HTTP/1.1\r\nHost: h\r\n\r\n")
 	must.NoError(t, err)
 	close(sent)
-	must.Len(t, 0, bodies(br, 2))
+	must.Len(t, 0, readBodies(br, 2))
 	select {
-	case <-passedOn:
-		t.Error("a request was passed on and lost with the answer before it")
+	case <-reachedGate:
+		t.Error("a pipelined request was sent to a gate, and its response was lost with the truncated one before it")
 	default:
 	}
 }
 
-// broken is a body that breaks off.
-type broken struct{ io.Reader }
+// truncatedBody is a body that is truncated: it ends with io.ErrUnexpectedEOF.
+type truncatedBody struct{ io.Reader }
 
-func (b broken) Read(p []byte) (int, error) {
+func (b truncatedBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
@@ -178,23 +181,23 @@
 	return n, err
 }
 
-func TestAnswerWithoutALengthThatBreaksOffIsReplaced(t *testing.T) {
+func TestTruncatedResponseWithoutLengthIsReplaced(t *testing.T) {
 	sends := 0
-	p := proxyOf(t, func(*http.Request) (*http.Response, error) {
+	p := proxyWithGate(t, func(*http.Request) (*http.Response, error) {
 		if sends++; sends == 1 {
-			return answerOf(-1, broken{strings.NewReader("part")}), nil
+			return relayedResponse(-1, truncatedBody{strings.NewReader("part")}), nil
 		}
-		return answerOf(-1, strings.NewReader("whole")), nil
+		return relayedResponse(-1, strings.NewReader("whole")), nil
 	})
-	w := ask(p)
+	w := get(p)
 	must.Eq(t, "whole", w.Body.String())
 	must.Eq(t, "5", w.Header().Get("Content-Length"))
 }
 
-func TestAnswersThatAreNotKeptArePassedOnAsTheyCome(t *testing.T) {
-	events := answerOf(-1, strings.NewReader("data: 1\n\n"))
+func TestUnbufferedResponsesAreStreamed(t *testing.T) {
+	events := relayedResponse(-1, strings.NewReader("data: 1\n\n"))
 	events.Header.Set("Content-Type", "text/event-stream")
-	trailed := answerOf(-1, strings.NewReader("body"))
+	trailed := relayedResponse(-1, strings.NewReader("body"))
 	trailed.Trailer = http.Header{"Checksum": {"1"}}
 	large := strings.Repeat("x", maxKept+1)
 	for name, test := range map[string]struct {
@@ -203,11 +206,11 @@
 	}{
 		"events":                          {events, "data: 1\n\n"},
 		"an answer with trailers":         {trailed, "body"},
-		"a large answer without a length": {answerOf(-1, strings.NewReader(large)), large},
-		"a large answer":                  {answerOf(maxKept+1, strings.NewReader(large)), large},
+		"a large answer without a length": {relayedResponse(-1, strings.NewReader(large)), large},
+		"a large answer":                  {relayedResponse(maxKept+1, strings.NewReader(large)), large},
 	} {
-		p := proxyOf(t, func(*http.Request) (*http.Response, error) { return test.resp, nil })
-		w := ask(p)
+		p := proxyWithGate(t, func(*http.Request) (*http.Response, error) { return test.resp, nil })
+		w := get(p)
 		must.Eq(t, test.want, w.Body.String(), must.Sprint(name))
 		must.Eq(t, test.resp.ContentLength < 0, w.Flushed, must.Sprint(name))
 	}
