--- a/internal/sidecar/freshness.go
+++ b/internal/sidecar/freshness.go
@@ -31,7 +31,7 @@
 }
 
 // currency returns the proof as requests see it; nil where they need none.
-func (p *proving) currency() outbound.Currency {
+func (p *proving) currency() outbound.Freshness {
 	if p == nil {
 		return nil
 	}
--- a/internal/sidecar/signals.go
+++ b/internal/sidecar/signals.go
@@ -97,7 +97,7 @@
 	n.announce(n.pub.instance.Load())
 	time.Sleep(min(withdrawLead, notice))
 	end := began.Add(n.set.grace() - n.set.grace()/exitPart)
-	n.proxy.Leave(end)
+	n.proxy.BeginShutdown(end)
 	ctx, cancel := context.WithDeadline(n.ctx, end)
 	defer cancel()
 	err := n.callers.shutdown(ctx, n.log)
--- a/transport/outbound/authorise.go
+++ b/transport/outbound/authorise.go
@@ -23,9 +23,9 @@
 	Return(o *route.Organisation)
 }
 
-// Currency is the proof that the configuration in force is recent, so that requests may be
+// Freshness is the proof that the configuration in force is recent, so that requests may be
 // authorised by the keys in it.
-type Currency interface {
+type Freshness interface {
 	// Left returns for how long the configuration in force is still proved to be recent
 	// enough for requests that show a key; 0 or less when it isn't.
 	Left() time.Duration
@@ -45,11 +45,11 @@
 	switch {
 	case found.Anonymous:
 		return o, nil
-	case p.cfg.Currency != nil && p.cfg.Currency.Left() <= 0:
+	case p.cfg.Freshness != nil && p.cfg.Freshness.Left() <= 0:
 		return nil, p.unproved()
 	case o != nil:
 		return o, nil
-	case p.cfg.Currency != nil && !p.cfg.Currency.Recent():
+	case p.cfg.Freshness != nil && !p.cfg.Freshness.Recent():
 		// The key may belong to a newer configuration: callers don't retry after "unknown
 		// key", but they do after a refusal with Retry-After.
 		return nil, p.unproved()
@@ -73,7 +73,7 @@
 	if x.route.Anonymous || !t.Keyed() {
 		return true
 	}
-	if x.p.cfg.Currency != nil && x.p.cfg.Currency.Left() <= 0 {
+	if x.p.cfg.Freshness != nil && x.p.cfg.Freshness.Left() <= 0 {
 		return false
 	}
 	return t.Organisation(x.p.cfg.Dialect.Key(x.r.Header)) != nil
@@ -143,7 +143,7 @@
 	if x.organisation != nil {
 		h[outcome.HeaderOrganisation] = []string{x.organisation.Name}
 	}
-	if x.p.cfg.Currency != nil && !x.route.Anonymous {
+	if x.p.cfg.Freshness != nil && !x.route.Anonymous {
 		x.boundStart(h)
 	}
 }
@@ -151,7 +151,7 @@
 // boundStart sends the gate the time, in milliseconds, within which the request must be
 // handed to the backend server, where the proof of its key expires before its deadline.
 func (x *exchange) boundStart(h http.Header) {
-	left := x.p.cfg.Currency.Left()
+	left := x.p.cfg.Freshness.Left()
 	if left < x.deadline.Sub(x.p.cfg.Now()) {
 		h[outcome.HeaderStartWithin] = []string{forward.Millis(left)}
 	}
--- a/transport/outbound/authorise_test.go
+++ b/transport/outbound/authorise_test.go
@@ -81,7 +81,7 @@
 // proved: a key that is missing in it may belong to a newer version.
 func TestProofDecidesTheStatusForAKey(t *testing.T) {
 	for name, c := range map[string]struct {
-		proof  Currency
+		proof  Freshness
 		key    string
 		status int
 	}{
@@ -95,7 +95,7 @@
 		"none, just proved":         {proof{time.Second, true}, "", 401},
 	} {
 		p := newKeyedProxy(t, &gates{answer: answerAll})
-		p.cfg.Currency = c.proof
+		p.cfg.Freshness = c.proof
 		w := getWithKey(p, c.key)
 		must.Eq(t, c.status, w.Code, must.Sprint(name))
 		must.Eq(t, c.status == 503, w.Header().Get("Retry-After") != "", must.Sprint(name))
@@ -107,7 +107,7 @@
 func TestRequestWhoseProofEndsIsNotSentAgain(t *testing.T) {
 	g := &gates{answer: refuseAll}
 	p := newKeyedProxy(t, g)
-	p.cfg.Currency = &expiringProof{checksLeft: 2} // one check on arrival, one before the first send
+	p.cfg.Freshness = &expiringProof{checksLeft: 2} // one check on arrival, one before the first send
 	must.Eq(t, 503, getWithKey(p, key).Code)
 	must.Len(t, 1, g.dueMillis)
 }
@@ -173,7 +173,7 @@
 	for left, want := range map[time.Duration]string{400 * time.Millisecond: "400", time.Hour: ""} {
 		h := new(headerRecorder)
 		p := newKeyedProxy(t, h)
-		p.cfg.Currency = proof{left, true}
+		p.cfg.Freshness = proof{left, true}
 		must.Eq(t, 200, getWithKey(p, key).Code)
 		must.Eq(t, want, h.got[0].Get(outcome.HeaderStartWithin))
 	}
--- a/transport/outbound/exchange.go
+++ b/transport/outbound/exchange.go
@@ -101,7 +101,7 @@
 		return refused
 	}
 	x.ctx, x.cancel = context.WithDeadline(x.r.Context(), x.deadline.Add(callerGrace))
-	if x.body, err = readBody(x.w, x.r, x.p.cfg.MaxKept); err != nil {
+	if x.body, err = readBody(x.w, x.r, x.p.cfg.MaxBodyBuffer); err != nil {
 		return &refusal{status: http.StatusBadRequest, reason: outcome.ReasonCancelled}
 	}
 	x.fingerprint = forward.Fingerprint(x.r, x.body.readSoFar())
--- a/transport/outbound/keep.go
+++ b/transport/outbound/keep.go
@@ -24,7 +24,7 @@
 func (x *exchange) reserveBuffer(resp *http.Response) int64 {
 	size := resp.ContentLength
 	w, ok := x.w.(interface{ Followed() bool })
-	if !ok || size <= x.p.cfg.MaxKept || size > maxBufferedResponse || !w.Followed() {
+	if !ok || size <= x.p.cfg.MaxBodyBuffer || size > maxBufferedResponse || !w.Followed() {
 		return 0
 	}
 	if x.p.bufferedBytes.Add(size) > maxBufferedTotal {
--- a/transport/outbound/leaving.go
+++ b/transport/outbound/leaving.go
@@ -8,9 +8,9 @@
 	"github.com/jacinthgate/jacinthgate/protocol/outcome"
 )
 
-// Leave makes the proxy refuse every new request whose deadline lies after end, the time
-// at which the node shuts down: its response might not be finished by then.
-func (p *Proxy) Leave(end time.Time) { p.shutdownEnd.Store(&end) }
+// BeginShutdown makes the proxy refuse every new request whose deadline lies after end, the
+// time at which the node stops: its response might not be finished by then.
+func (p *Proxy) BeginShutdown(end time.Time) { p.shutdownEnd.Store(&end) }
 
 // refuseAtShutdown returns a refusal for a request whose deadline lies after the end of the
 // node's shutdown; nil where the request may be served.
--- a/transport/outbound/length_test.go
+++ b/transport/outbound/length_test.go
@@ -112,7 +112,7 @@
 		resp.Header.Set("Stamp", "1")
 		return resp, nil
 	})
-	p.cfg.Near, p.cfg.Far, p.cfg.MaxKept = g, g, maxKept
+	p.cfg.Near, p.cfg.Far, p.cfg.MaxBodyBuffer = g, g, maxKept
 	w := get(p)
 	must.Eq(t, http.StatusBadGateway, w.Code)
 	must.Eq(t, "", w.Header().Get("Stamp")+w.Body.String())
--- a/transport/outbound/proxy.go
+++ b/transport/outbound/proxy.go
@@ -51,9 +51,9 @@
 	Runs *attempt.Runs
 	// Quotas enforces the quotas of organisations; nil enforces none.
 	Quotas Quotas
-	// Currency is the proof that the configuration in force is recent; nil where requests
+	// Freshness is the proof that the configuration in force is recent; nil where requests
 	// need no proof.
-	Currency Currency
+	Freshness Freshness
 	// Suspects returns the requests that are suspected of crashing backend servers. It is
 	// one atomic load.
 	Suspects func() *suspect.View
@@ -62,10 +62,10 @@
 	// Local sends to the gate of this host, Near to gates of other nodes in the zone,
 	// and Far to gates in other zones.
 	Local, Near, Far http.RoundTripper
-	// MaxKept is the size in bytes up to which bodies are buffered: request bodies so
+	// MaxBodyBuffer is the size in bytes up to which bodies are buffered: request bodies so
 	// that they can be sent again, response bodies so that a truncated response can be
 	// replaced by that of another attempt.
-	MaxKept int64
+	MaxBodyBuffer int64
 	// Seed seeds the random number generator.
 	Seed uint64
 	// Metrics is the set that metrics are registered in.
--- a/transport/outbound/relay.go
+++ b/transport/outbound/relay.go
@@ -17,7 +17,7 @@
 	forward.StripNodeHeaders(resp.Header)
 	reserved := x.reserveBuffer(resp)
 	defer x.p.bufferedBytes.Add(-reserved)
-	body, whole, err := x.readWhole(resp, max(x.p.cfg.MaxKept, reserved))
+	body, whole, err := x.readWhole(resp, max(x.p.cfg.MaxBodyBuffer, reserved))
 	if err != nil {
 		result.Outcome = x.truncationOutcome()
 		choice.Done(x.p.cfg.Now(), result)
--- a/transport/outbound/turn_test.go
+++ b/transport/outbound/turn_test.go
@@ -54,7 +54,7 @@
 // proxyWithGate returns a proxy whose requests all go to g.
 func proxyWithGate(t *testing.T, g gateFunc) *Proxy {
 	p := newProxy(t, model.KindInteractive, 9, nil)
-	p.cfg.Near, p.cfg.Far, p.cfg.MaxKept = g, g, maxKept
+	p.cfg.Near, p.cfg.Far, p.cfg.MaxBodyBuffer = g, g, maxKept
 	return p
 }
 
