--- a/transport/entry/alloc_test.go
+++ b/transport/entry/alloc_test.go
@@ -8,16 +8,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// maxAllocs bounds the allocations of one whole call: caller, entry proxy,
-// gate and backend server in one process. 210 are measured, and 221 with the
-// race detector; a direct call takes 70 of them. The room is for buffers that a
-// garbage collection has taken from the pools. With http.Transport on both hops
-// and a Waiter for each request there were 288.
+// maxAllocs bounds the allocations of one whole call, with caller, entry proxy, gate
+// and backend server in one process. A call makes 210, or 221 with the race detector;
+// 70 of them belong to a direct call. The margin covers buffers that a garbage
+// collection has removed from the pools. It stays below the 288 of http.Transport on
+// both hops and a Waiter for each request.
 const maxAllocs = 235
 
 func TestCallAllocatesLittle(t *testing.T) {
-	b := newBed()
-	b.work = http.HandlerFunc(fixedAnswer)
+	b := newTestBed()
+	b.work = http.HandlerFunc(fixedResponse)
 	b.start(t)
 	r := b.request(t, "GET", "/rooms/1", "")
 	allocs := testing.AllocsPerRun(300, func() {
--- a/transport/entry/bed_test.go
+++ b/transport/entry/bed_test.go
@@ -43,14 +43,15 @@
 	return s
 }
 
-// bed is one backend server, its gate and one entry proxy.
-type bed struct {
+// testBed consists of one backend server, its gate and one entry proxy, all in this
+// process.
+type testBed struct {
 	service model.Service
 	class   model.Class
-	work    http.Handler
-	// addr is the backend server's address where it isn't work that runs there.
+	work    http.Handler // the backend server's handler; nil if addr is set by the test
+	// addr is the backend server's address.
 	addr string
-	// crashed is told by the gate of crashes of the backend server.
+	// crashed is called by the gate for each crash of the backend server.
 	crashed  func(suspect.Crash, []suspect.Fingerprint)
 	cfg      Config
 	snap     atomic.Pointer[snapshot.Snapshot]
@@ -63,8 +64,8 @@
 	client   *http.Client
 }
 
-func newBed() *bed {
-	return &bed{
+func newTestBed() *testBed {
+	return &testBed{
 		service: model.Service{QueueLength: 8},
 		class:   model.Class{Kind: model.KindInteractive},
 		work:    backend.New(backend.Config{Slots: 200}),
@@ -72,7 +73,8 @@
 	}
 }
 
-func (b *bed) start(t testing.TB) *bed {
+// start starts the backend server, the gate and the entry proxy.
+func (b *testBed) start(t testing.TB) *testBed {
 	t.Helper()
 	if b.work != nil {
 		server := httptest.NewServer(b.work)
@@ -103,8 +105,8 @@
 	return b
 }
 
-// serveBy announces the given nodes, all at the one gate.
-func (b *bed) serveBy(nodes ...model.NodeID) {
+// serveBy publishes an endpoint for each of the given nodes, all at the same gate.
+func (b *testBed) serveBy(nodes ...model.NodeID) {
 	table := endpoint.NewTable()
 	for _, n := range nodes {
 		table.Put(endpoint.Record{Node: n, Service: "rooms", GateAddr: strings.TrimPrefix(b.gateURL, "http://")})
@@ -112,7 +114,7 @@
 	b.view.Store(table.View())
 }
 
-func (b *bed) startProxy(t testing.TB) {
+func (b *testBed) startProxy(t testing.TB) {
 	cfg := b.cfg
 	cfg.Snapshot, cfg.View = b.snap.Load, b.view.Load
 	cfg.Ready = func() bool { return true }
@@ -123,7 +125,7 @@
 	b.client = server.Client()
 }
 
-func (b *bed) request(t testing.TB, method, path, body string) *http.Request {
+func (b *testBed) request(t testing.TB, method, path, body string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, b.url+path, strings.NewReader(body))
 	must.NoError(t, err)
--- a/transport/entry/bench_test.go
+++ b/transport/entry/bench_test.go
@@ -13,24 +13,25 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// answerSize is the size of the answers in bytes, as in the design's budget.
-const answerSize = 512
+// responseSize is the size of the response bodies, in bytes, as in the latency budget
+// of the design.
+const responseSize = 512
 
-func fixedAnswer(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set("Content-Length", strconv.Itoa(answerSize))
-	_, _ = w.Write(make([]byte, answerSize))
+func fixedResponse(w http.ResponseWriter, _ *http.Request) {
+	w.Header().Set("Content-Length", strconv.Itoa(responseSize))
+	_, _ = w.Write(make([]byte, responseSize))
 }
 
-// hop is one way to carry the hop between nodes.
+// hop is a transport for the hop between entry proxy and gate.
 type hop struct {
 	name       string
 	tls, http2 bool
 }
 
-// startHop starts a bed whose hop between entry proxy and gate is as given.
-func startHop(b *testing.B, h hop) *bed {
-	d := newBed()
-	d.work = http.HandlerFunc(fixedAnswer)
+// startHop starts a test bed with the given transport between entry proxy and gate.
+func startHop(b *testing.B, h hop) *testBed {
+	d := newTestBed()
+	d.work = http.HandlerFunc(fixedResponse)
 	d.start(b)
 	if !h.tls {
 		return d
@@ -53,11 +54,11 @@
 	return d
 }
 
-// BenchmarkPath measures one caller's whole call by each way. Take the ratios:
-// the figures themselves are the machine's.
+// BenchmarkPath measures a whole call of a single caller, direct and through the mesh
+// with each transport. Only the ratios are comparable between machines.
 func BenchmarkPath(b *testing.B) {
 	b.Run("direct", func(b *testing.B) {
-		s := httptest.NewServer(http.HandlerFunc(fixedAnswer))
+		s := httptest.NewServer(http.HandlerFunc(fixedResponse))
 		defer s.Close()
 		measure(b, s.Client(), s.URL)
 	})
@@ -80,7 +81,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if n, err := io.Copy(io.Discard, resp.Body); n != answerSize || err != nil {
+		if n, err := io.Copy(io.Discard, resp.Body); n != responseSize || err != nil {
 			b.Fatal(n, err, resp.Status)
 		}
 		_ = resp.Body.Close()
@@ -91,7 +92,7 @@
 	b.ReportMetric(float64(times[len(times)*99/100].Nanoseconds()), "p99-ns")
 }
 
-// BenchmarkStages measures the parts of a call that are the nodes' own.
+// BenchmarkStages measures the stages of a call that run in the nodes.
 func BenchmarkStages(b *testing.B) {
 	d := startHop(b, hop{})
 	r := httptest.NewRequest("GET", "/rooms/1", nil)
@@ -114,13 +115,13 @@
 				b.Fatal(err)
 			}
 			x.last.choice = choice
-			x.done(0)
+			x.reportAttempt(0)
 		}
 	})
 	b.Run("build", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			x := exchange{p: d.proxy, r: r, plan: &pl, ctx: b.Context(), kept: true}
+			x := exchange{p: d.proxy, r: r, plan: &pl, ctx: b.Context(), buffered: true}
 			x.last.record = &d.view.Load().Service("rooms")[0]
 			x.request(1000)
 		}
--- a/transport/entry/body.go
+++ b/transport/entry/body.go
@@ -9,29 +9,30 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// keepBody reads a small body of known length before anything is sent, so
-// that it can be sent again and a slow caller holds no slot of a gate. Other
-// bodies are streamed and never sent again.
-func (x *exchange) keepBody() *forward.Refusal {
+// bufferBody reads a body of known length up to MaxReplayBody before anything is sent
+// to a gate, so that it can be sent again and a slow caller doesn't occupy a slot of the
+// gate. Other bodies are streamed; they are sent again only if none of the stream was
+// read.
+func (x *exchange) bufferBody() *forward.Refusal {
 	r := x.r
 	switch {
 	case r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0:
-		x.kept = true
+		x.buffered = true
 		return nil
-	case r.ContentLength < 0, r.Header["Expect"] != nil: // the backend server decides whether it wants the body
+	case r.ContentLength < 0, r.Header["Expect"] != nil: // with Expect, the backend server decides
 		x.stream = forward.NewStreamBody(x.w, r)
 		return nil
 	case r.ContentLength > x.p.cfg.MaxReplayBody:
-		return x.beginBody()
+		return x.bufferBodyStart()
 	}
 	x.body = make([]byte, r.ContentLength)
-	x.kept = true
+	x.buffered = true
 	return x.readBody()
 }
 
-// beginBody reads the beginning of a body that is passed on as it comes: its
-// fingerprint covers so much.
-func (x *exchange) beginBody() *forward.Refusal {
+// bufferBodyStart reads the beginning of a streamed body, as many bytes as the
+// request's fingerprint covers.
+func (x *exchange) bufferBodyStart() *forward.Refusal {
 	x.body = make([]byte, min(x.r.ContentLength, forward.FingerprintBytes))
 	if refusal := x.readBody(); refusal != nil {
 		return refusal
@@ -40,18 +41,20 @@
 	return nil
 }
 
-// readBody fills x.body before the deadline.
+// readBody fills x.body from the caller's body, or returns a refusal if the body does
+// not arrive before the deadline.
 func (x *exchange) readBody() *forward.Refusal {
 	rc := http.NewResponseController(x.w)
-	_ = rc.SetReadDeadline(x.plan.deadline) // without one, the caller's own end is waited for
+	_ = rc.SetReadDeadline(x.plan.deadline) // if unsupported, the caller ends the read
 	if _, err := io.ReadFull(x.r.Body, x.body); err != nil {
-		return x.cutBody(err)
+		return x.incompleteBody(err)
 	}
-	_ = rc.SetReadDeadline(time.Time{}) // it was set, so it can be cleared
+	_ = rc.SetReadDeadline(time.Time{}) // clearing fails only where setting did
 	return nil
 }
 
-func (x *exchange) cutBody(err error) *forward.Refusal {
+// incompleteBody returns the refusal for a body that could not be read whole.
+func (x *exchange) incompleteBody(err error) *forward.Refusal {
 	if isTimeout(err) {
 		return x.p.notRun(outcome.ReasonDeadline, "the body did not arrive before the deadline")
 	}
--- a/transport/entry/caller_conn.go
+++ b/transport/entry/caller_conn.go
@@ -7,25 +7,27 @@
 	"sync/atomic"
 )
 
-// callerConn is a caller's connection. It keeps the bytes of each request's
-// head as they arrived, so that a request for the older system can be passed
-// on byte for byte.
+// callerConn is a caller's connection. It records the bytes of each request's head
+// as they arrived, so that a request for the older system can be forwarded byte for
+// byte.
 //
 // net/http reads a connection from one goroutine at a time, so the fields need
 // no lock.
 type callerConn struct {
 	net.Conn
 
-	// pending is read before the connection.
+	// pending holds bytes that Read returns before it reads from Conn.
 	pending []byte
 	// head holds the bytes read since the request began, while recording.
 	head      []byte
 	recording bool
 	// count is the number of bytes read since the request began.
 	count int
-	// early is the next request's first byte, if it was read too soon.
-	early []byte
-	// older is the connection to the older system that goes with this one.
+	// prefetched is the first byte of the next request, if net/http read it while the
+	// handler of the current one still ran.
+	prefetched []byte
+	// older is the connection to the older system that carries this caller's
+	// requests; nil if there is none.
 	older *olderConn
 }
 
@@ -37,9 +39,9 @@
 	case c.recording:
 		c.head = append(c.head, p[:n]...)
 	case len(p) == 1 && n == 1:
-		// While a handler runs, net/http waits for the end of the connection
-		// by reading one byte, which is the start of the next request.
-		c.early = append(c.early[:0], p[0])
+		// While a handler runs, net/http detects a closed connection by reading one
+		// byte; if the caller is still there, that is the first of the next request.
+		c.prefetched = append(c.prefetched[:0], p[0])
 	}
 	return n, err
 }
@@ -53,23 +55,24 @@
 	return n, nil
 }
 
-// begin starts the recording of the next request.
-func (c *callerConn) begin() {
-	c.head = append(c.head[:0], c.early...)
-	c.count = len(c.early)
-	c.early = c.early[:0]
+// beginRecording starts recording the head of the next request.
+func (c *callerConn) beginRecording() {
+	c.head = append(c.head[:0], c.prefetched...)
+	c.count = len(c.prefetched)
+	c.prefetched = c.prefetched[:0]
 	c.recording = true
 }
 
 // Close implements net.Conn.
 func (c *callerConn) Close() error {
 	if c.older != nil {
-		_ = c.older.Close() // it has nothing more to carry
+		_ = c.older.Close() // it carries no more data, so an error doesn't matter
 	}
 	return c.Conn.Close()
 }
 
-// connState is the server's ConnState hook.
+// connState is the server's ConnState hook. It records each request's head: from the
+// connection's start or idle state until net/http has read the head.
 func connState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*callerConn)
 	if !ok {
@@ -77,9 +80,9 @@
 	}
 	switch state {
 	case http.StateNew, http.StateIdle:
-		c.begin()
+		c.beginRecording()
 	case http.StateActive:
-		c.recording = false // the head has been read
+		c.recording = false
 	}
 }
 
@@ -89,7 +92,7 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// recordingListener wraps the connections it accepts.
+// recordingListener wraps each accepted connection in a callerConn.
 type recordingListener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -101,21 +104,21 @@
 	return &callerConn{Conn: c}, nil
 }
 
-// oneListener accepts one connection; it hands one back to an http.Server. The
-// server may close it at any time, so the connection is taken exactly once: by
-// Accept or by Close.
-type oneListener struct {
+// singleConnListener is a listener that returns a single, existing connection; it hands a
+// hijacked connection back to an http.Server. The server may close the listener at any
+// time, so the connection is taken exactly once: by Accept or by Close.
+type singleConnListener struct {
 	conn atomic.Pointer[callerConn]
 }
 
-func newOneListener(c *callerConn) *oneListener {
-	l := new(oneListener)
+func newSingleConnListener(c *callerConn) *singleConnListener {
+	l := new(singleConnListener)
 	l.conn.Store(c)
 	return l
 }
 
 // Accept implements net.Listener.
-func (l *oneListener) Accept() (net.Conn, error) {
+func (l *singleConnListener) Accept() (net.Conn, error) {
 	c := l.conn.Swap(nil)
 	if c == nil {
 		return nil, net.ErrClosed
@@ -123,8 +126,8 @@
 	return c, nil
 }
 
-// Close implements net.Listener. It closes a connection that was not taken.
-func (l *oneListener) Close() error {
+// Close implements net.Listener. It closes the connection unless Accept returned it.
+func (l *singleConnListener) Close() error {
 	c := l.conn.Swap(nil)
 	if c == nil {
 		return nil
@@ -133,4 +136,4 @@
 }
 
 // Addr implements net.Listener.
-func (l *oneListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
--- a/transport/entry/claim.go
+++ b/transport/entry/claim.go
@@ -14,15 +14,15 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// claimable reports whether the request is claimed: non-repeatable, and with a
-// key by which its caller would repeat it.
+// claimable reports whether the request needs a claim: it is non-repeatable and has an
+// idempotency key, with which its caller may retry it.
 func (x *exchange) claimable() bool {
 	return x.plan.match.Class.Kind == model.KindNonRepeatable &&
 		x.r.Header[outcome.HeaderIdempotencyKey] != nil
 }
 
-// beginClaim claims the request's key. On nil the request may be sent, unless
-// x.resp holds the answer of an earlier one.
+// beginClaim claims the request's key, if it is claimable. If it returns nil, the
+// request may be sent, unless x.resp holds the replayed response of an earlier request.
 func (x *exchange) beginClaim() *forward.Refusal {
 	if !x.claimable() {
 		return nil
@@ -32,7 +32,7 @@
 		return x.p.notRun(outcome.ReasonMalformed, outcome.HeaderIdempotencyKey+" must hold one key")
 	}
 	fp := claim.Fingerprint{Method: x.r.Method, Target: x.r.URL.RequestURI()}
-	if x.kept {
+	if x.buffered {
 		sum := sha256.Sum256(x.body)
 		fp.BodyHash = sum[:]
 	}
@@ -44,15 +44,15 @@
 			Detail: "the key can't be claimed", RetryAfter: v.Refusal.RetryAfter,
 		}
 	case v.Replay != nil:
-		x.resp = replayed(*v.Replay)
+		x.resp = replayResponse(*v.Replay)
 	default:
 		x.claim = held
 	}
 	return nil
 }
 
-// replayed returns the response that repeats a kept answer.
-func replayed(a claim.Answer) *http.Response {
+// replayResponse returns the response that replays a stored one.
+func replayResponse(a claim.Answer) *http.Response {
 	h := make(http.Header, len(a.Header)+3)
 	for _, f := range a.Header {
 		h[f.Name] = append(h[f.Name], f.Value)
@@ -63,8 +63,8 @@
 	return &http.Response{StatusCode: a.Status, Header: h, Body: forward.NewBufferedBody(a.Body), ContentLength: int64(len(a.Body))}
 }
 
-// endClaim ends the claim of a request that got no answer.
-func (x *exchange) endClaim(out outcome.Outcome) {
+// endUnansweredClaim ends the claim of a request that got no response.
+func (x *exchange) endUnansweredClaim(out outcome.Outcome) {
 	if x.claim == nil {
 		return
 	}
@@ -76,9 +76,10 @@
 	x.claim = nil
 }
 
-// keepAnswer reads a small answer whole and keeps it for repeats before any of
-// it is passed on. A larger one is streamed; finishClaim ends its claim.
-func (x *exchange) keepAnswer() error {
+// storeResponse reads a small response whole and stores it with the claim, for replay
+// to retries, before any of it is relayed. A larger one is streamed, and finishClaim
+// ends its claim.
+func (x *exchange) storeResponse() error {
 	if x.claim == nil {
 		return nil
 	}
@@ -87,29 +88,30 @@
 		return errors.Join(&forward.TruncatedError{Err: err}, x.resp.Body.Close())
 	}
 	if len(start) > claim.MaxBody || len(x.resp.Trailer) > 0 {
-		x.resp.Body = &prefixed{Reader: io.MultiReader(bytes.NewReader(start), x.resp.Body), Closer: x.resp.Body}
+		x.resp.Body = &prefixedBody{Reader: io.MultiReader(bytes.NewReader(start), x.resp.Body), Closer: x.resp.Body}
 		return nil
 	}
-	x.claim.Done(claim.Answer{Status: x.resp.StatusCode, Header: fields(x.resp.Header), Body: start})
+	x.claim.Done(claim.Answer{Status: x.resp.StatusCode, Header: storedFields(x.resp.Header), Body: start})
 	x.claim = nil
-	x.resp.Body = &prefixed{Reader: bytes.NewReader(start), Closer: x.resp.Body}
+	x.resp.Body = &prefixedBody{Reader: bytes.NewReader(start), Closer: x.resp.Body}
 	return nil
 }
 
-// prefixed is a body whose start was read already.
-type prefixed struct {
+// prefixedBody is a response body whose beginning has been read already.
+type prefixedBody struct {
 	io.Reader
 	io.Closer
 }
 
-// finishClaim ends the claim of an answer that was too large to keep. Only the
-// upstream's break leaves the outcome open; the caller's own doesn't.
+// finishClaim ends the claim of a response that was not stored, after it was relayed
+// with the result err. The outcome is unknown only if the response was truncated on the
+// backend server's side; if the caller disconnected, the request did run.
 func (x *exchange) finishClaim(err error) {
 	if x.claim == nil {
 		return
 	}
-	var cut *forward.TruncatedError
-	if errors.As(err, &cut) {
+	var truncated *forward.TruncatedError
+	if errors.As(err, &truncated) {
 		x.claim.Unknown()
 	} else {
 		x.claim.Done(claim.Answer{Status: x.resp.StatusCode, NotKept: true})
@@ -117,8 +119,9 @@
 	x.claim = nil
 }
 
-// fields returns the headers that are kept with an answer.
-func fields(h http.Header) []claim.Field {
+// storedFields returns the header fields that are stored with a response: those that
+// belong neither to the connection nor to the nodes.
+func storedFields(h http.Header) []claim.Field {
 	h = h.Clone()
 	forward.RemoveHopByHop(h)
 	forward.StripNodeHeaders(h)
--- a/transport/entry/config.go
+++ b/transport/entry/config.go
@@ -27,24 +27,24 @@
 	Region model.Region
 	// Seed seeds the defaults of Balance and Retry.
 	Seed uint64
-	// Snapshot returns the configuration held, or nil. It is one atomic load.
+	// Snapshot returns the held configuration, or nil. It is one atomic load.
 	Snapshot func() *snapshot.Snapshot
-	// View returns the endpoints known, or nil. It is one atomic load.
+	// View returns the current endpoints, or nil. It is one atomic load.
 	View func() *endpoint.View
-	// Ready reports whether the node may serve with what it holds.
+	// Ready reports whether the node may serve with the configuration it holds.
 	Ready func() bool
-	// Suspects returns the requests that are suspected to crash backend servers. It is
-	// one atomic load. Nil suspects none.
+	// Suspects returns the requests that are suspected of crashing backend servers. It
+	// is one atomic load. If Suspects is nil, no request is quarantined.
 	Suspects func() *suspect.View
-	// Admit, Balance, Retry and Claim take the decisions. A node gives its
-	// own. Nil takes AdmitAll, a balance.Picker, a retry.Retrier without
-	// budgets and NoClaim.
+	// Admit, Balance, Retry and Claim are the policies; a node supplies its own. The
+	// defaults are AdmitAll, a balance.Picker, a retry.Retrier without budgets and
+	// NoClaim.
 	Admit   Admitter
 	Balance Balancer
 	Retry   Retrier
 	Claim   Claimer
-	// Gate sends to gates. It should be a *forward.Client. Nil takes one with
-	// the default settings.
+	// Gate sends requests to gates. It should be a *forward.Client. The default is
+	// one with the default settings.
 	Gate http.RoundTripper
 	// GateScheme is "http", or "https" where Gate uses TLS.
 	GateScheme string
@@ -53,26 +53,27 @@
 	OlderAddr string
 	// OlderDialTimeout bounds opening a connection to the older system.
 	OlderDialTimeout time.Duration
-	// MaxHops bounds a chain of calls; one more is taken for a loop.
+	// MaxHops bounds the hops in a chain of calls; a longer chain is treated as a
+	// loop and refused.
 	MaxHops int
 	// MaxHeaderBytes bounds a request's head, in bytes.
 	MaxHeaderBytes int
-	// MaxReplayBody bounds the body kept for a retry, in bytes. A larger one
-	// is streamed and never sent again.
+	// MaxReplayBody is the largest body that is buffered for retries, in bytes. A
+	// larger one is streamed; it is sent again only if none of the stream was read.
 	MaxReplayBody int64
-	// RetryAfter is when a refused caller is asked to come back where nothing
-	// better is known.
+	// RetryAfter is the default Retry-After delay of a refusal, used where no better
+	// estimate is available.
 	RetryAfter time.Duration
 	// HeaderTimeout bounds reading a request's head.
 	HeaderTimeout time.Duration
-	// IdleTimeout closes a caller's idle connection.
+	// IdleTimeout is the time after which a caller's idle connection is closed.
 	IdleTimeout time.Duration
-	// MaxMetricOrganisations bounds the organisations with their own histograms; the
-	// others share one named "other".
+	// MaxMetricOrganisations bounds the number of organisations with their own
+	// histograms; all others share the label "other".
 	MaxMetricOrganisations int
 	// Metrics is the set that metrics are registered in.
 	Metrics *metrics.Set
-	// Logger gets one line for each event.
+	// Logger receives one line for each event.
 	Logger log.Logger
 	// Now is the clock.
 	Now func() time.Time
@@ -97,7 +98,8 @@
 	}
 }
 
-// withDefaults fills in what was left empty.
+// withDefaults returns c with the default for each field that has the zero value and
+// needs one.
 func (c Config) withDefaults() Config {
 	d := DefaultConfig()
 	setIfZero(&c.GateScheme, d.GateScheme)
--- a/transport/entry/cut_test.go
+++ b/transport/entry/cut_test.go
@@ -15,8 +15,9 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// breakAfter answers in place of a gate: it reads a part of the body and breaks its answer off.
-func breakAfter(w http.ResponseWriter, r *http.Request, read int) {
+// truncateAfter stands in for a gate: it reads that many bytes of the body, then sends
+// a truncated response.
+func truncateAfter(w http.ResponseWriter, r *http.Request, read int) {
 	_, _ = io.ReadFull(r.Body, make([]byte, read))
 	if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+outcome.HeaderOutcome+": answered\r\nContent-Length: 9\r\n\r\npart")
@@ -24,20 +25,21 @@
 	}
 }
 
-// A caller that still sends its body must be told that its answer broke off.
+// A caller that is still sending its body must have its connection closed when its
+// response is truncated; otherwise it can't detect the truncation.
 func TestBrokenAnswerEndsItsConnectionWhileTheBodyIsBeingSent(t *testing.T) {
 	begin := strings.Repeat("x", forward.FingerprintBytes+1)
-	b := newBed()
-	b.cfg.MaxReplayBody = 1 // larger bodies are passed on as they come
+	b := newTestBed()
+	b.cfg.MaxReplayBody = 1 // larger bodies are streamed
 	b.start(t)
-	gate := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { breakAfter(w, r, len(begin)) }))
+	gate := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { truncateAfter(w, r, len(begin)) }))
 	defer gate.Close()
 	b.gateURL = gate.URL
 	b.serveBy("host-1")
 	synctest.Test(t, func(t *testing.T) {
 		caller, accepted := net.Pipe()
 		defer caller.Close()
-		_ = newServer(b.proxy).Serve(newOneListener(&callerConn{Conn: accepted}))
+		_ = newServer(b.proxy).Serve(newSingleConnListener(&callerConn{Conn: accepted}))
 		ended := false
 		go func() {
 			_, _ = io.Copy(io.Discard, caller)
@@ -50,14 +52,14 @@
 	})
 }
 
-// What a caller has sent behind an answer that broke off is lost with its connection, but no
-// backend server has run it.
-func TestRequestsBehindABrokenAnswerAreNotPassedOn(t *testing.T) {
-	b := newBed().start(t)
-	asked := make(chan string, 2)
+// A request that a caller pipelined behind one whose response is truncated is lost with
+// the connection. It must not reach a backend server.
+func TestRequestsPipelinedBehindTruncatedResponseAreNotForwarded(t *testing.T) {
+	b := newTestBed().start(t)
+	received := make(chan string, 2)
 	gate := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.Path
-		breakAfter(w, r, 0)
+		received <- r.URL.Path
+		truncateAfter(w, r, 0)
 	}))
 	defer gate.Close()
 	b.gateURL = gate.URL
@@ -68,7 +70,7 @@
 	get := func(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: " + testHost + "\r\n\r\n" }
 	_, err = io.WriteString(caller, get("/first")+get("/behind"))
 	must.NoError(t, err)
-	_, _ = io.Copy(io.Discard, caller) // it ends in one way or another
-	must.Eq(t, "/first", <-asked)
-	must.Eq(t, 0, len(asked))
+	_, _ = io.Copy(io.Discard, caller) // whether it ends by EOF or by an error doesn't matter
+	must.Eq(t, "/first", <-received)
+	must.Eq(t, 0, len(received))
 }
--- a/transport/entry/decide.go
+++ b/transport/entry/decide.go
@@ -10,21 +10,22 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// plan is what is decided about a request before any of it is sent.
+// plan is the routing decision for a request, made before any of it is sent.
 type plan struct {
 	match    snapshot.Match
 	deadline time.Time
-	hops     int
-	// older says that the older system handles the request.
+	hops     int // the request's hop count, this hop included
+	// older reports whether the older system handles the request.
 	older bool
 }
 
-// decide looks the request up. It allocates nothing for an accepted request.
+// decide returns the plan for a request, or a refusal. It allocates nothing for an
+// accepted request.
 func (p *Proxy) decide(r *http.Request, now time.Time) (plan, *forward.Refusal) {
 	var pl plan
 	snap := p.cfg.Snapshot()
 	if snap == nil || !p.cfg.Ready() {
-		pl.older = p.olderUnready(snap, r)
+		pl.older = p.olderWhileUnready(snap, r)
 		if pl.older {
 			return pl, nil
 		}
@@ -41,15 +42,14 @@
 	case m.Route == nil:
 		return pl, p.notRun(outcome.ReasonNoRoute, "no route matches")
 	}
-	return pl, p.bound(&pl, r, now)
+	return pl, p.setLimits(&pl, r, now)
 }
 
-// olderUnready reports whether a request goes to the older system while the node
-// is not ready. A version that is held but may be out of date still tells whose
-// traffic the mesh handles. A request with an idempotency key may be the repeat
-// of one that ran in the mesh, so it is refused: the older system would run it
-// again.
-func (p *Proxy) olderUnready(snap *snapshot.Snapshot, r *http.Request) bool {
+// olderWhileUnready reports whether a request goes to the older system while the node
+// is not ready. A held configuration, even if it may be out of date, still determines
+// which traffic the mesh handles. A request with an idempotency key may be the retry
+// of one that ran in the mesh, so it is refused: the older system would run it again.
+func (p *Proxy) olderWhileUnready(snap *snapshot.Snapshot, r *http.Request) bool {
 	if p.cfg.OlderAddr == "" || r.Header[outcome.HeaderIdempotencyKey] != nil {
 		return false
 	}
@@ -60,8 +60,10 @@
 	return !found || m.HandledBy == model.SystemOlder
 }
 
-// bound sets the plan's hop count and deadline.
-func (p *Proxy) bound(pl *plan, r *http.Request, now time.Time) *forward.Refusal {
+// setLimits sets the plan's hop count and deadline, or returns a refusal if the
+// headers are malformed, the chain of calls is too long or the deadline has passed. A
+// caller's deadline can only shorten that of the class.
+func (p *Proxy) setLimits(pl *plan, r *http.Request, now time.Time) *forward.Refusal {
 	hops, _, err := forward.HeaderInt(r.Header, outcome.HeaderHops)
 	if err != nil {
 		return p.notRun(outcome.ReasonMalformed, err.Error())
@@ -87,6 +89,8 @@
 	return nil
 }
 
+// notRun returns a refusal of a request that was not run, with the default Retry-After
+// delay.
 func (p *Proxy) notRun(reason outcome.Reason, detail string) *forward.Refusal {
 	r := forward.NotRun(reason, detail)
 	r.RetryAfter = p.cfg.RetryAfter
--- a/transport/entry/defaults.go
+++ b/transport/entry/defaults.go
@@ -9,7 +9,7 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// AdmitAll is an Admitter without limits.
+// AdmitAll is an Admitter that admits every request.
 type AdmitAll struct{}
 
 // Admit implements Admitter.
@@ -17,8 +17,8 @@
 	return admit.Permit{}, nil
 }
 
-// NoClaim keeps no claims: it sends each request once, but a caller that
-// repeats its request after an unknown outcome may run it twice.
+// NoClaim is a Claimer that keeps no claims. Each request is sent once, but when a
+// caller retries it after an unknown outcome, it may run twice.
 type NoClaim struct{}
 
 // Begin implements Claimer.
--- a/transport/entry/delegates.go
+++ b/transport/entry/delegates.go
@@ -16,48 +16,55 @@
 // Admitter decides whether a request fits the organisation's limits.
 // *admit.Limiter is one.
 type Admitter interface {
-	// Admit lets a request in or refuses it. The permit is released once.
+	// Admit admits or refuses a request. The permit must be released exactly once.
 	Admit(now time.Time, m snapshot.Match) (admit.Permit, *admit.Refusal)
 }
 
 // Balancer chooses a backend server. *balance.Picker is one.
 type Balancer interface {
-	// Pick chooses among the records; Done of the choice is called once.
-	Pick(now time.Time, s *model.Service, records []endpoint.Record, tried *balance.Exclusions) (balance.Choice, error)
+	// Pick chooses one of the records that excluded does not rule out. Done of the
+	// choice must be called exactly once.
+	Pick(now time.Time, s *model.Service, records []endpoint.Record, excluded *balance.Exclusions) (balance.Choice, error)
 }
 
-// Retrier decides on retries and keeps their budgets. *retry.Retrier is one.
+// Retrier decides whether a failed attempt is retried, within the retry budgets.
+// *retry.Retrier is one.
 type Retrier interface {
-	// First counts a first attempt.
+	// First credits the retry budget for a first attempt; an inherited one earns
+	// nothing.
 	First(m snapshot.Match, inherited bool)
-	// Decide decides what follows a failed attempt.
+	// Decide returns whether, when and where to retry after a failed attempt.
 	Decide(now time.Time, m snapshot.Match, a retry.Attempt) retry.Decision
 }
 
-// Claimer makes non-repeatable requests with an idempotency key run at most
+// Claimer ensures that a non-repeatable request with an idempotency key runs at most
 // once.
 type Claimer interface {
-	// Begin claims the key. The Claim is nil unless the verdict is to proceed.
+	// Begin claims the key for the organisation. The Claim is nil unless the verdict
+	// is to proceed.
 	Begin(ctx context.Context, organisation, key string, fp claim.Fingerprint) (Claim, ClaimVerdict)
 }
 
-// ClaimVerdict says what to do with a request. The zero value is to proceed.
+// ClaimVerdict is the result of claiming a request's key. With the zero value the
+// request proceeds.
 type ClaimVerdict struct {
-	// Replay is the answer of an earlier request with the key.
+	// Replay is the stored response of an earlier request with the key, to be
+	// returned in place of running the request.
 	Replay *claim.Answer
-	// Refusal is set when the request must not be sent.
+	// Refusal is set if the request must not be sent.
 	Refusal *claim.Refuse
 }
 
-// Claim is one request that holds its key. Exactly one of Done, NotRun and
-// Unknown is called.
+// Claim is a request's claim on its idempotency key. Exactly one of Done, NotRun and
+// Unknown must be called.
 type Claim interface {
-	// Dispatch is called right before each send; on false nothing is sent.
+	// Dispatch is called right before each send. If it returns false, the claim is no
+	// longer held and nothing may be sent.
 	Dispatch() bool
-	// Done keeps the whole answer for repeats.
+	// Done stores the whole response, to be replayed to retries.
 	Done(answer claim.Answer)
-	// NotRun gives the key back: certainly nothing ran.
+	// NotRun releases the key, because certainly nothing ran.
 	NotRun()
-	// Unknown leaves the key claimed.
+	// Unknown leaves the key claimed, because the request may have run.
 	Unknown()
 }
--- a/transport/entry/exchange.go
+++ b/transport/entry/exchange.go
@@ -17,7 +17,8 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// exchange is one caller's request and its attempts.
+// exchange handles one caller's request for the mesh: its body, its claim, and its
+// attempts at backend servers.
 type exchange struct {
 	p      *Proxy
 	w      http.ResponseWriter
@@ -26,83 +27,88 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	body []byte // the whole body when it is kept, or the beginning of a stream
-	kept bool
-	// fingerprint is that of what the request asks for.
+	// body is the whole body if buffered is set, otherwise the beginning of stream, if
+	// that was read.
+	body     []byte
+	buffered bool
+	// fingerprint identifies equal requests in the quarantine.
 	fingerprint suspect.Fingerprint
-	// stream is the body when it is not kept.
+	// stream is the body if it is not buffered.
 	stream *forward.StreamBody
-	claim  Claim // nil without one
+	claim  Claim // nil if the request is not claimed
 
-	number    int // of the attempt, from 1
+	attemptNumber int // from 1
+	// inherited is set if the request arrived as a retry, or as a nested call of one.
 	inherited bool
-	tried     balance.Exclusions
+	excluded  balance.Exclusions
 	last      attempt
-	resp      *http.Response
+	// resp is the response to relay: the backend server's, or a replayed one.
+	resp *http.Response
 }
 
-// attempt is one attempt's record.
+// attempt is the state of one attempt to send the request to a gate.
 type attempt struct {
 	choice  balance.Choice
-	record  *endpoint.Record // nil when none was picked
-	sent    bool
+	record  *endpoint.Record // nil if no backend server was picked
+	sent    bool             // the request may have reached the gate
 	sentAt  time.Time
-	latency time.Duration // without the opening of a connection
-	load    *balance.Load
+	latency time.Duration // excludes the time to open a connection
+	load    *balance.Load // reported by the gate; nil without a report
 }
 
 func newExchange(p *Proxy, w http.ResponseWriter, r *http.Request, pl *plan) *exchange {
 	x := &exchange{p: p, w: w, r: r, plan: pl, inherited: r.Header[outcome.HeaderAttempt] != nil}
 	ctx := r.Context()
 	if x.claimable() {
-		// A caller that goes away asks again with the same key: it is better
-		// served by the answer, kept for it, than by a key that is lost.
+		// A caller that disconnects retries with the same key. Finishing the request
+		// lets that retry get the stored response; cancelling it would leave the key
+		// claimed with an unknown outcome.
 		ctx = context.WithoutCancel(ctx)
 	}
 	x.ctx, x.cancel = context.WithDeadline(ctx, pl.deadline)
 	return x
 }
 
-// run makes attempts until one is answered or none may follow. After nil,
-// relay must be called.
+// run makes attempts until one is answered or no further attempt is allowed. If it
+// returns nil, relay must be called.
 func (x *exchange) run() *forward.Refusal {
-	if refusal := x.keepBody(); refusal != nil {
+	if refusal := x.bufferBody(); refusal != nil {
 		return refusal
 	}
 	x.fingerprint = forward.Fingerprint(x.r, x.body)
 	if refusal := x.beginClaim(); refusal != nil || x.resp != nil {
 		return refusal
 	}
-	refusal := x.attempts()
+	refusal := x.runAttempts()
 	if refusal != nil {
-		x.endClaim(refusal.Outcome)
+		x.endUnansweredClaim(refusal.Outcome)
 	}
 	return refusal
 }
 
-// attempts returns the refusal that tells the caller most when none succeeds:
-// an attempt that may have run before any other, and otherwise the last gate's
-// own reason.
-func (x *exchange) attempts() *forward.Refusal {
+// runAttempts returns nil when an attempt was answered. Otherwise it returns the most
+// informative refusal: that of an attempt that may have run, if there is one, else that
+// of the last attempt for which a backend server was picked.
+func (x *exchange) runAttempts() *forward.Refusal {
 	x.p.cfg.Retry.First(x.plan.match, x.inherited)
-	var told *forward.Refusal
+	var result *forward.Refusal
 	for {
-		x.number++
-		refusal := x.attempt()
+		x.attemptNumber++
+		refusal := x.runAttempt()
 		if refusal == nil {
 			return nil
 		}
-		if told == nil || refusal.Outcome == outcome.Unknown || (told.Outcome == outcome.NotRun && x.last.record != nil) {
-			told = refusal
+		if result == nil || refusal.Outcome == outcome.Unknown || (result.Outcome == outcome.NotRun && x.last.record != nil) {
+			result = refusal
 		}
-		if !x.again(refusal) {
-			return told
+		if !x.awaitRetry(refusal) {
+			return result
 		}
 	}
 }
 
-// attempt sends the request once. Nil means that x.resp is an answer.
-func (x *exchange) attempt() *forward.Refusal {
+// runAttempt sends the request once. If it returns nil, x.resp holds the response.
+func (x *exchange) runAttempt() *forward.Refusal {
 	now := x.p.cfg.Now()
 	x.last = attempt{sentAt: now}
 	remaining := x.plan.deadline.Sub(now).Milliseconds()
@@ -119,9 +125,9 @@
 		return x.p.notRun(outcome.ReasonNoEndpoint, "no backend server may take the request")
 	}
 	x.last.choice, x.last.record = choice, choice.Record
-	x.tried.Add(choice.Record.Node)
+	x.excluded.Add(choice.Record.Node)
 	if x.claim != nil && !x.claim.Dispatch() {
-		x.done(balance.Cancelled)
+		x.reportAttempt(balance.Cancelled)
 		return x.p.notRun(outcome.ReasonDeadline, "the claim on the key is over")
 	}
 	resp, opening, err := forward.SendTimed(x.p.cfg.Gate, x.request(remaining), x.w)
@@ -139,13 +145,14 @@
 	if view := x.p.cfg.View(); view != nil {
 		records = view.Service(service.Name)
 	}
-	return x.p.cfg.Balance.Pick(now, service, records, &x.tried)
+	return x.p.cfg.Balance.Pick(now, service, records, &x.excluded)
 }
 
-// request builds the request to the chosen gate.
+// request builds the request to the chosen gate. remaining is the time to the deadline
+// in milliseconds.
 func (x *exchange) request(remaining int64) *http.Request {
 	var body io.ReadCloser
-	if !x.kept {
+	if !x.buffered {
 		body = x.stream
 	} else if len(x.body) > 0 {
 		body = forward.NewBufferedBody(x.body)
@@ -154,7 +161,7 @@
 	m := &x.plan.match
 	h := out.Header
 	forward.StripNodeHeaders(h)
-	// One array holds the values of all headers.
+	// One array for the values of all headers saves an allocation for each.
 	v := [...]string{
 		strconv.FormatInt(remaining, 10),
 		strconv.Itoa(x.plan.hops),
@@ -170,24 +177,25 @@
 	h[outcome.HeaderClass] = v[3:4:4]
 	h[outcome.HeaderKind] = v[4:5:5]
 	h[outcome.HeaderService] = v[5:6:6]
-	if x.r.ContentLength != 0 { // the gate reads the rest from the head
+	if x.r.ContentLength != 0 { // without a body, the gate computes the fingerprint from the head
 		h[outcome.HeaderFingerprint] = v[6:7:7]
 	}
-	if x.number > 1 && !x.inherited {
-		h[outcome.HeaderAttempt] = []string{strconv.Itoa(x.number)}
+	if x.attemptNumber > 1 && !x.inherited {
+		h[outcome.HeaderAttempt] = []string{strconv.Itoa(x.attemptNumber)}
 	}
 	return out
 }
 
-// again asks for leave to make another attempt and waits for its turn.
-func (x *exchange) again(refusal *forward.Refusal) bool {
+// awaitRetry reports whether another attempt is allowed, after the backoff before it
+// has elapsed.
+func (x *exchange) awaitRetry(refusal *forward.Refusal) bool {
 	if x.last.record == nil || x.ctx.Err() != nil {
 		return false
 	}
-	replayable := x.kept || x.reclaim()
+	replayable := x.buffered || x.reclaimStream()
 	now := x.p.cfg.Now()
 	d := x.p.cfg.Retry.Decide(now, x.plan.match, retry.Attempt{
-		Number:     x.number,
+		Number:     x.attemptNumber,
 		Inherited:  x.inherited,
 		Replayable: replayable,
 		Left:       x.plan.deadline.Sub(now),
@@ -200,13 +208,14 @@
 		return false
 	}
 	if d.AvoidZone != "" {
-		x.tried.AvoidZone(model.Zone(d.AvoidZone))
+		x.excluded.AvoidZone(model.Zone(d.AvoidZone))
 	}
 	return d.After <= 0 || sleep(x.ctx, d.After)
 }
 
-// reclaim takes a streamed body back and reports whether all of it is left.
-func (x *exchange) reclaim() bool {
+// reclaimStream recovers a streamed body for another attempt. It reports false if some
+// of the body has been read, so that it can't be sent again.
+func (x *exchange) reclaimStream() bool {
 	if left := x.stream.Reclaim(); left != nil {
 		x.stream = left
 		return true
@@ -214,6 +223,7 @@
 	return false
 }
 
+// sleep waits for d. It reports false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -225,8 +235,8 @@
 	}
 }
 
-// done reports the attempt's end to the balancer.
-func (x *exchange) done(o balance.Outcome) {
+// reportAttempt reports the result of the attempt to the balancer.
+func (x *exchange) reportAttempt(o balance.Outcome) {
 	x.last.choice.Done(x.p.cfg.Now(), balance.Result{
 		Latency: x.last.latency,
 		Outcome: o,
--- a/transport/entry/metrics.go
+++ b/transport/entry/metrics.go
@@ -11,8 +11,8 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// otherLabel stands for all organisations above the cap, and for requests without
-// a contract.
+// otherLabel is the label of all organisations above the cap, as organisation and as
+// class.
 const otherLabel = "other"
 
 type histogramKey struct{ organisation, class string }
@@ -22,12 +22,13 @@
 	reason  outcome.Reason
 }
 
-// requestMetrics holds the metrics of requests. Reading them takes no lock.
+// requestMetrics holds the request counters and latency histograms. The lookup of an
+// existing one takes no lock.
 type requestMetrics struct {
 	set              *metrics.Set
 	maxOrganisations int64
 	organisations    atomic.Int64
-	known            sync.Map // organisation -> struct{}
+	known            sync.Map // organisation with its own label -> struct{}
 	histograms       sync.Map // histogramKey -> *metrics.Histogram
 	counters         sync.Map // counterKey -> *metrics.Counter
 	truncated        *metrics.Counter
@@ -43,7 +44,8 @@
 	}
 }
 
-// record counts one finished request.
+// record counts a finished request and its duration. The duration is recorded only for
+// requests with a contract and a class.
 func (q *requestMetrics) record(m *snapshot.Match, out outcome.Outcome, reason outcome.Reason, d time.Duration) {
 	q.counter(counterKey{out, reason}).Inc()
 	if m.Contract == nil || m.Class == nil {
@@ -61,8 +63,8 @@
 	return c
 }
 
-// label returns the organisation's label: its name for the first organisations seen,
-// otherLabel for the rest.
+// label returns the organisation's label: its name for the first maxOrganisations
+// organisations, otherLabel for the rest.
 func (q *requestMetrics) label(organisation string) string {
 	if _, ok := q.known.Load(organisation); ok {
 		return organisation
@@ -78,7 +80,7 @@
 
 func (q *requestMetrics) histogram(organisation, class string) *metrics.Histogram {
 	if organisation == otherLabel {
-		class = otherLabel // class names are the organisations' own
+		class = otherLabel // each organisation chooses its own class names
 	}
 	k := histogramKey{organisation, class}
 	if h, ok := q.histograms.Load(k); ok {
--- a/transport/entry/older.go
+++ b/transport/entry/older.go
@@ -18,9 +18,9 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// olderServer passes requests to the older system. It takes the caller's
-// connection over from net/http for one request, copies the bytes both ways,
-// and gives the connection back for the next request, which may go elsewhere.
+// olderServer forwards requests to the older system. It hijacks the caller's
+// connection for one request, copies the bytes both ways, and hands the connection
+// back to net/http for the next request, which the mesh may handle.
 type olderServer struct {
 	p         *Proxy
 	transport http.RoundTripper
@@ -28,8 +28,8 @@
 
 	mu      sync.Mutex
 	closing bool
-	idle    map[*callerConn]struct{}
-	running sync.WaitGroup
+	idle    map[*callerConn]struct{} // hijacked, waiting for the next request
+	running sync.WaitGroup           // requests in flight on hijacked connections
 }
 
 // olderConn is a connection to the older system.
@@ -49,11 +49,12 @@
 	}
 }
 
-// serve passes a request to the older system.
+// serve forwards a request to the older system: byte for byte if its head was
+// recorded, otherwise rebuilt.
 func (o *olderServer) serve(w http.ResponseWriter, r *http.Request) {
 	o.p.metrics.older.Inc()
 	c, ok := r.Context().Value(connKey{}).(*callerConn)
-	if !ok || !startsWithLine(c.head, r) {
+	if !ok || !hasRequestLine(c.head, r) {
 		o.rebuild(w, r)
 		return
 	}
@@ -70,14 +71,14 @@
 	o.takeOver(c, r, buf.Reader)
 }
 
-// startsWithLine reports whether the recorded head is the request's own. It is
-// not when the caller sent the request before the answer to the last one.
-func startsWithLine(head []byte, r *http.Request) bool {
+// hasRequestLine reports whether the recorded head belongs to the request. It does not
+// if the caller pipelined the request before it had the previous response.
+func hasRequestLine(head []byte, r *http.Request) bool {
 	line := r.Method + " " + r.RequestURI + " " + r.Proto
 	return bytes.HasPrefix(head, []byte(line))
 }
 
-// connect gives c a live connection to the older system.
+// connect ensures that c.older is an open connection to the older system.
 func (o *olderServer) connect(ctx context.Context, c *callerConn) error {
 	if c.older != nil && alive(c.older) {
 		return nil
@@ -94,8 +95,8 @@
 	return nil
 }
 
-// alive reports whether an idle connection is still open: there is neither an
-// end nor a byte that nobody asked for.
+// alive reports whether an idle connection is reusable: the older system has neither
+// closed it nor sent unexpected bytes.
 func alive(c *olderConn) bool {
 	t, ok := c.Conn.(syscall.Conn)
 	if !ok || c.reader.Buffered() > 0 {
@@ -115,12 +116,16 @@
 	return err == nil && open
 }
 
+// unreachable logs and writes the refusal of a request for which the older system
+// could not be reached.
 func (o *olderServer) unreachable(w http.ResponseWriter, err error) {
 	_ = level.Warn(o.p.cfg.Logger).Log("event", "older_unreachable", "addr", o.p.cfg.OlderAddr, "err", err)
 	o.p.notRun(outcome.ReasonOlderUnreachable, "the older system did not accept the connection").Write(w)
 }
 
-// takeOver carries one request and its answer over the raw connections.
+// takeOver forwards one request and its response over the raw connections. buffered
+// holds the bytes that net/http had read beyond the request's head. Afterwards the
+// connection goes back to the HTTP server if it can carry another request.
 func (o *olderServer) takeOver(c *callerConn, r *http.Request, buffered *bufio.Reader) {
 	x := &rawExchange{caller: c, request: r}
 	rest, _ := buffered.Peek(buffered.Buffered()) // never more than is buffered
@@ -132,8 +137,8 @@
 	}
 	x.head = c.head[:headEnd]
 	c.pending = append(bytes.Clone(rest), c.pending...)
-	c.recording, c.early = false, c.early[:0]
-	_ = c.SetDeadline(time.Time{}) // the older system's own limits hold
+	c.recording, c.prefetched = false, c.prefetched[:0]
+	_ = c.SetDeadline(time.Time{}) // the older system applies its own timeouts
 	reusable := x.run()
 	o.running.Done()
 	if !reusable || !o.waitIdle(c, x) {
@@ -142,17 +147,19 @@
 	}
 	c.pending = x.leftover()
 	// Serve closes the connection itself when the server is shutting down.
-	_ = o.p.server.Serve(newOneListener(c))
+	_ = o.p.server.Serve(newSingleConnListener(c))
 }
 
-// waitIdle waits for the next request's first byte.
+// waitIdle waits for the first byte of the caller's next request. It reports false if
+// the connection must be closed: it ended, stayed idle for IdleTimeout, or the server
+// is shutting down.
 func (o *olderServer) waitIdle(c *callerConn, x *rawExchange) bool {
 	o.mu.Lock()
 	if o.closing {
 		o.mu.Unlock()
 		return false
 	}
-	_ = c.SetReadDeadline(time.Now().Add(o.p.cfg.IdleTimeout)) // a failure shows in the read
+	_ = c.SetReadDeadline(time.Now().Add(o.p.cfg.IdleTimeout)) // if it fails, so does the read
 	o.idle[c] = struct{}{}
 	o.mu.Unlock()
 	err := <-x.next
@@ -162,7 +169,8 @@
 	return err == nil && !o.closing && c.SetReadDeadline(time.Time{}) == nil
 }
 
-// shutdown closes idle connections and waits for the running requests.
+// shutdown closes idle connections and waits until the requests in flight have ended,
+// or ctx ends.
 func (o *olderServer) shutdown(ctx context.Context) error {
 	o.mu.Lock()
 	o.closing = true
@@ -183,8 +191,9 @@
 	}
 }
 
-// rebuild passes on a request whose raw head is not at hand. The header's
-// order and spelling are lost; its content and the body are kept.
+// rebuild forwards a request whose raw head was not recorded, built anew from the
+// parsed request. The order and spelling of its header fields are lost; their content
+// and the body are preserved.
 func (o *olderServer) rebuild(w http.ResponseWriter, r *http.Request) {
 	var body io.ReadCloser
 	var stream *forward.StreamBody
--- a/transport/entry/older_exchange.go
+++ b/transport/entry/older_exchange.go
@@ -10,20 +10,20 @@
 	"slices"
 )
 
-// rawExchange is one request to the older system and its answer, copied byte
-// for byte. Only the framing is read, to find where each ends.
+// rawExchange copies one request to the older system, and its response back, byte for
+// byte. It parses only the framing, to find where each of them ends.
 type rawExchange struct {
 	caller  *callerConn
 	request *http.Request
 	head    []byte
-	reader  *bufio.Reader
-	// next gets nil when the next request's first byte has arrived, or why
-	// there is none.
+	reader  *bufio.Reader // of the caller's connection, behind the head
+	// next receives nil when the first byte of the next request has arrived, or the
+	// error that ended the wait for it.
 	next chan error
 }
 
-// run carries the request and its answer. It reports whether the caller's
-// connection may carry another request.
+// run copies the request and its response. It reports whether the caller's connection
+// may carry another request.
 func (x *rawExchange) run() bool {
 	x.reader = bufio.NewReader(x.caller)
 	x.next = make(chan error, 1)
@@ -32,7 +32,7 @@
 		return false
 	}
 	go x.sendBody()
-	resp, err := x.answer()
+	resp, err := x.copyResponse()
 	if err != nil {
 		_ = older.Close() // ends sendBody as well
 		return false
@@ -44,14 +44,14 @@
 	return !resp.Close && !x.request.Close
 }
 
-// leftover returns what was read from the caller beyond the request.
+// leftover returns the bytes that were read from the caller beyond the request.
 func (x *rawExchange) leftover() []byte {
 	b, _ := x.reader.Peek(x.reader.Buffered()) // never more than is buffered
 	return append(bytes.Clone(b), x.caller.pending...)
 }
 
-// sendBody copies the request's body and waits for the next request. When the
-// caller goes away the older system sees the same.
+// sendBody copies the request's body and waits for the next request. If the caller
+// closes its connection or the connection fails, so does the one to the older system.
 func (x *rawExchange) sendBody() {
 	older := x.caller.older
 	err := x.copyBody(older)
@@ -77,8 +77,9 @@
 	return nil
 }
 
-// answer copies the answer and the 1xx responses before it.
-func (x *rawExchange) answer() (*http.Response, error) {
+// copyResponse copies the response and the 1xx responses before it to the caller, and
+// returns the parsed head of the final one.
+func (x *rawExchange) copyResponse() (*http.Response, error) {
 	from := x.caller.older.reader
 	for {
 		head, err := readHead(from)
@@ -93,7 +94,7 @@
 			return nil, err
 		}
 		if resp.StatusCode >= http.StatusOK {
-			return resp, x.copyAnswer(resp, from)
+			return resp, x.copyResponseBody(resp, from)
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
 			return resp, nil
@@ -101,7 +102,7 @@
 	}
 }
 
-func (x *rawExchange) copyAnswer(resp *http.Response, from *bufio.Reader) error {
+func (x *rawExchange) copyResponseBody(resp *http.Response, from *bufio.Reader) error {
 	bodyless := x.request.Method == http.MethodHead ||
 		resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified
 	switch {
@@ -119,8 +120,9 @@
 	}
 }
 
-// splice copies both ways until both ends are closed. The older system may
-// speak first, so it is listened to before the caller's first byte.
+// splice copies bytes both ways after a protocol switch, until both directions are
+// closed. The older system may send first, so copying from it does not wait for the
+// caller's first byte.
 func (x *rawExchange) splice() {
 	older := x.caller.older
 	done := make(chan struct{})
@@ -136,6 +138,7 @@
 	<-done
 }
 
+// closeWrite closes the writing half of the connection, if it has one.
 func closeWrite(c net.Conn) {
 	if t, ok := c.(interface{ CloseWrite() error }); ok {
 		_ = t.CloseWrite() // the peer may be gone
--- a/transport/entry/older_test.go
+++ b/transport/entry/older_test.go
@@ -19,8 +19,9 @@
 	"github.com/jacinthgate/jacinthgate/internal/standin/older"
 )
 
-// startOlder starts the older system and a bed whose callers come in by Serve.
-func startOlder(t *testing.T, b *bed) (*older.Server, string) {
+// startOlder starts the older system and a test bed, and returns the address of a
+// listener on which the proxy's Serve accepts callers.
+func startOlder(t *testing.T, b *testBed) (*older.Server, string) {
 	t.Helper()
 	system := older.New()
 	ol, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,15 +38,15 @@
 }
 
 const (
-	oddGet = "GET /older/a?b=%2f&&c HTTP/1.1\r\nhOST: screens.example\r\nX-b: 2\r\nx-A:   1\r\nX-b: 3\r\n\r\n"
-	post   = "POST /older/a HTTP/1.1\r\nHost: screens.example\r\nContent-Length: 5\r\nx-Z: 1\r\n\r\nhello"
-	chunks = "POST /older/c HTTP/1.1\r\nHost: screens.example\r\ntransfer-Encoding: chunked\r\n\r\n" +
+	unusualGet = "GET /older/a?b=%2f&&c HTTP/1.1\r\nhOST: screens.example\r\nX-b: 2\r\nx-A:   1\r\nX-b: 3\r\n\r\n"
+	post       = "POST /older/a HTTP/1.1\r\nHost: screens.example\r\nContent-Length: 5\r\nx-Z: 1\r\n\r\nhello"
+	chunks     = "POST /older/c HTTP/1.1\r\nHost: screens.example\r\ntransfer-Encoding: chunked\r\n\r\n" +
 		"005;ext=1\r\nhello\r\n2\r\n!!\r\n0\r\n\r\n"
 	meshGet = "GET /x HTTP/1.1\r\nHost: screens.example\r\n\r\n"
 )
 
 func TestOlderGetsRequestsByteForByte(t *testing.T) {
-	system, addr := startOlder(t, newBed())
+	system, addr := startOlder(t, newTestBed())
 	conn, err := net.Dial("tcp", addr)
 	must.NoError(t, err)
 	defer conn.Close()
@@ -53,7 +54,7 @@
 	count := int64(0)
 	// One connection carries requests for both systems in turn.
 	for range 3 {
-		for _, raw := range []string{oddGet, post, meshGet, chunks, post, oddGet, meshGet} {
+		for _, raw := range []string{unusualGet, post, meshGet, chunks, post, unusualGet, meshGet} {
 			_, err := io.WriteString(conn, raw)
 			must.NoError(t, err)
 			if raw == meshGet {
@@ -70,8 +71,8 @@
 	must.Eq(t, count, system.Requests())
 }
 
-// checkOlder returns raw if the older system got exactly it and its answer
-// came back as it was sent.
+// checkOlder returns raw after checking that the older system received exactly these
+// bytes and that its response arrived unchanged.
 func checkOlder(t *testing.T, reader *bufio.Reader, raw string, count int64) string {
 	t.Helper()
 	head, err := readHead(reader)
@@ -95,7 +96,7 @@
 }
 
 func TestOlderWithoutConfiguration(t *testing.T) {
-	b := newBed()
+	b := newTestBed()
 	_, addr := startOlder(t, b)
 	b.snap.Store(nil)
 	conn, err := net.Dial("tcp", addr)
@@ -107,7 +108,7 @@
 }
 
 func TestOlderUpgradeIsSpliced(t *testing.T) {
-	b := newBed()
+	b := newTestBed()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
@@ -118,7 +119,7 @@
 		}
 		defer c.Close()
 		_, _ = readHead(bufio.NewReader(c))
-		// The server speaks first, then echoes.
+		// The server sends first, then echoes.
 		_, _ = io.WriteString(c, "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\nhello")
 		_, _ = io.Copy(c, c)
 	}()
@@ -144,10 +145,10 @@
 	must.Eq(t, "again", string(got))
 }
 
-// A graceful shutdown lets the older system's request in flight finish, and
-// closes its caller's connection afterwards.
+// A graceful shutdown lets a request in flight at the older system finish, and closes
+// its caller's connection afterwards.
 func TestShutdownWaitsForOlderRequests(t *testing.T) {
-	b := newBed()
+	b := newTestBed()
 	received, release := make(chan struct{}), make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		close(received)
@@ -160,7 +161,7 @@
 	conn, err := net.Dial("tcp", addr)
 	must.NoError(t, err)
 	defer conn.Close()
-	_, err = io.WriteString(conn, oddGet)
+	_, err = io.WriteString(conn, unusualGet)
 	must.NoError(t, err)
 	<-received
 	ended := make(chan error, 1)
--- a/transport/entry/outcome_test.go
+++ b/transport/entry/outcome_test.go
@@ -25,32 +25,32 @@
 func TestRefusedRequestsAreNotRun(t *testing.T) {
 	cases := []struct {
 		name   string
-		change func(*bed, *http.Request)
+		change func(*testBed, *http.Request)
 		status int
 		reason outcome.Reason
 	}{
-		{"no organisation", func(_ *bed, r *http.Request) { r.Host = "other" }, 404, outcome.ReasonNoOrganisation},
-		{"passed deadline", func(_ *bed, r *http.Request) { r.Header.Set(outcome.HeaderDeadline, "0") }, 504, outcome.ReasonDeadline},
-		{"two deadlines", func(_ *bed, r *http.Request) { r.Header[outcome.HeaderDeadline] = []string{"1000", "9"} }, 400, outcome.ReasonMalformed},
-		{"negative deadline", func(_ *bed, r *http.Request) { r.Header.Set(outcome.HeaderDeadline, "-1") }, 400, outcome.ReasonMalformed},
-		{"loop", func(_ *bed, r *http.Request) { r.Header.Set(outcome.HeaderHops, "16") }, 508, outcome.ReasonLoop},
-		{"not ready", func(b *bed, _ *http.Request) { b.snap.Store(nil) }, 503, outcome.ReasonNotReady},
-		{"no endpoint", func(b *bed, _ *http.Request) { b.view.Store(nil) }, 503, outcome.ReasonNoEndpoint},
-		{"withdrawn", func(b *bed, _ *http.Request) { b.registry.Withdraw() }, 503, outcome.ReasonNoEndpoint},
-		{"draining", func(b *bed, _ *http.Request) { _ = b.registry.Drain(true) }, 503, outcome.ReasonDraining},
-		{"other service", func(b *bed, _ *http.Request) {
+		{"no organisation", func(_ *testBed, r *http.Request) { r.Host = "other" }, 404, outcome.ReasonNoOrganisation},
+		{"passed deadline", func(_ *testBed, r *http.Request) { r.Header.Set(outcome.HeaderDeadline, "0") }, 504, outcome.ReasonDeadline},
+		{"two deadlines", func(_ *testBed, r *http.Request) { r.Header[outcome.HeaderDeadline] = []string{"1000", "9"} }, 400, outcome.ReasonMalformed},
+		{"negative deadline", func(_ *testBed, r *http.Request) { r.Header.Set(outcome.HeaderDeadline, "-1") }, 400, outcome.ReasonMalformed},
+		{"loop", func(_ *testBed, r *http.Request) { r.Header.Set(outcome.HeaderHops, "16") }, 508, outcome.ReasonLoop},
+		{"not ready", func(b *testBed, _ *http.Request) { b.snap.Store(nil) }, 503, outcome.ReasonNotReady},
+		{"no endpoint", func(b *testBed, _ *http.Request) { b.view.Store(nil) }, 503, outcome.ReasonNoEndpoint},
+		{"withdrawn", func(b *testBed, _ *http.Request) { b.registry.Withdraw() }, 503, outcome.ReasonNoEndpoint},
+		{"draining", func(b *testBed, _ *http.Request) { _ = b.registry.Drain(true) }, 503, outcome.ReasonDraining},
+		{"other service", func(b *testBed, _ *http.Request) {
 			_ = b.registry.Announce(local.Announcement{Service: "else", Addr: "127.0.0.1:1", Slots: 1, Connections: 1})
 		}, 421, outcome.ReasonWrongService},
-		{"shed", func(b *bed, _ *http.Request) {
+		{"shed", func(b *testBed, _ *http.Request) {
 			b.work.(*backend.Server).SetFaults(backend.Faults{ShedAll: true})
 		}, 503, outcome.ReasonBackendRefused},
-		{"unreachable", func(b *bed, _ *http.Request) {
+		{"unreachable", func(b *testBed, _ *http.Request) {
 			_ = b.registry.Announce(local.Announcement{Service: "rooms", Addr: "127.0.0.1:1", Slots: 1, Connections: 1})
 		}, 503, outcome.ReasonBackendRefused},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newBed().start(t)
+			b := newTestBed().start(t)
 			r := b.request(t, "POST", "/x", "body")
 			tc.change(b, r)
 			resp := b.do(t, r)
@@ -65,10 +65,10 @@
 	}
 }
 
-// Under overload each request is either answered and ran once, or is refused
-// and did not run.
-func TestOverloadIsHonest(t *testing.T) {
-	b := newBed()
+// Under overload each request is either answered and has run exactly once, or refused
+// and has not run.
+func TestOutcomesUnderOverloadMatchRuns(t *testing.T) {
+	b := newTestBed()
 	work := backend.New(backend.Config{Slots: 2, Faults: backend.Faults{ServiceMillis: 5}})
 	b.work = work
 	b.start(t)
@@ -101,14 +101,14 @@
 
 func TestDeadlineShrinksAlongTheChain(t *testing.T) {
 	var deadlines, hops []int
-	b := newBed()
+	b := newTestBed()
 	b.work = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d, _ := strconv.Atoi(r.Header.Get(outcome.HeaderDeadline))
 		h, _ := strconv.Atoi(r.Header.Get(outcome.HeaderHops))
 		deadlines, hops = append(deadlines, d), append(hops, h)
-		time.Sleep(2 * time.Millisecond) // a part of the deadline is used up
+		time.Sleep(2 * time.Millisecond) // uses up a part of the time to the deadline
 		next := b.request(t, "GET", r.URL.Path, "").WithContext(r.Context())
-		next.Header = r.Header.Clone() // backend servers pass them on
+		next.Header = r.Header.Clone() // backend servers propagate the mesh's headers
 		resp, err := b.client.Do(next)
 		if err != nil {
 			return
@@ -119,29 +119,30 @@
 	b.start(t)
 	resp := b.do(t, b.request(t, "GET", "/loop", ""))
 	must.Eq(t, http.StatusLoopDetected, resp.StatusCode)
-	must.Eq(t, 16, len(hops)) // the 17th was refused
+	must.Eq(t, 16, len(hops)) // the 17th hop is refused
 	for i := range hops {
 		must.Eq(t, i+1, hops[i])
 		must.True(t, i == 0 || deadlines[i] < deadlines[i-1])
 	}
 }
 
-// breaking answers nothing to its first n requests, after they were read.
-type breaking struct {
-	breaks atomic.Int64
+// abortingHandler aborts the connections of its first requests without a response, as
+// many as aborts was set to, and answers all later ones with 200.
+type abortingHandler struct {
+	aborts atomic.Int64
 	runs   atomic.Int64
 }
 
 // ServeHTTP implements http.Handler.
-func (b *breaking) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (b *abortingHandler) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	b.runs.Add(1)
-	if b.breaks.Add(-1) >= 0 {
+	if b.aborts.Add(-1) >= 0 {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-func TestRetriesOnlyWhatIsSafe(t *testing.T) {
+func TestRetriesOnlySafeRequests(t *testing.T) {
 	budget := &model.RetryBudget{Ratio: 1, MinPerSecond: 10}
 	cases := []struct {
 		name   string
@@ -156,9 +157,9 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newBed()
-			work := &breaking{}
-			work.breaks.Store(1)
+			b := newTestBed()
+			work := &abortingHandler{}
+			work.aborts.Store(1)
 			b.work, b.class = work, tc.class
 			retrier := retry.New(retry.DefaultConfig(), 1)
 			b.cfg.Retry = retrier
@@ -173,9 +174,9 @@
 	}
 }
 
-// A request that could not be sent goes to another host without a budget.
-func TestDeadHostIsPassedOver(t *testing.T) {
-	b := newBed().start(t)
+// A request that could not be sent goes to another host, even without a retry budget.
+func TestUnreachableHostIsSkipped(t *testing.T) {
+	b := newTestBed().start(t)
 	gone := httptest.NewServer(nil)
 	gone.Close()
 	table := endpoint.NewTable()
@@ -189,9 +190,9 @@
 	}
 }
 
-func TestDrainFinishesWhatRuns(t *testing.T) {
+func TestDrainFinishesRunningRequests(t *testing.T) {
 	started, finish := make(chan struct{}), make(chan struct{})
-	b := newBed()
+	b := newTestBed()
 	b.work = http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		close(started)
 		<-finish
@@ -245,12 +246,12 @@
 		{"answered", fakeClaims{dispatch: true}, handler, 200, "done 200 booked"},
 		{"broken", fakeClaims{dispatch: true}, abort, 502, "unknown"},
 		{"paused", fakeClaims{}, handler, 504, "not run"},
-		{"platform away", fakeClaims{verdict: ClaimVerdict{Refusal: refuse}}, handler, 503, ""},
+		{"platform unavailable", fakeClaims{verdict: ClaimVerdict{Refusal: refuse}}, handler, 503, ""},
 		{"replayed", fakeClaims{verdict: ClaimVerdict{Replay: &claim.Answer{Status: 201}}}, handler, 201, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newBed()
+			b := newTestBed()
 			tc.claims.ends = make(chan string, 2)
 			b.cfg.Claim, b.work, b.class.Kind = &tc.claims, tc.work, model.KindNonRepeatable
 			b.start(t)
@@ -264,10 +265,11 @@
 	}
 }
 
-// A caller that goes away finds the answer kept when it asks again.
+// A claimed request runs to its end when its caller disconnects, so that the response
+// is stored for the caller's retry.
 func TestClaimedRequestOutlivesItsCaller(t *testing.T) {
 	started, finish := make(chan struct{}), make(chan struct{})
-	b := newBed()
+	b := newTestBed()
 	claims := &fakeClaims{dispatch: true, ends: make(chan string, 2)}
 	b.cfg.Claim, b.class.Kind = claims, model.KindNonRepeatable
 	b.work = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -289,9 +291,9 @@
 	must.Eq(t, "done 200 booked", <-claims.ends)
 }
 
-// The decision on an accepted request allocates nothing.
+// The routing decision for an accepted request allocates nothing.
 func TestDecideAllocatesNothing(t *testing.T) {
-	b := newBed().start(t)
+	b := newTestBed().start(t)
 	r := httptest.NewRequest("GET", "/rooms/1", nil)
 	r.Host = testHost
 	r.Header.Set(outcome.HeaderDeadline, "1000")
@@ -305,6 +307,6 @@
 }
 
 func TestOrganisationsAboveTheCapShareOneLabel(t *testing.T) {
-	q := newRequestMetrics(newBed().cfg.withDefaults().Metrics, 2)
+	q := newRequestMetrics(newTestBed().cfg.withDefaults().Metrics, 2)
 	must.Eq(t, []string{"a", "b", "other", "a"}, []string{q.label("a"), q.label("b"), q.label("c"), q.label("a")})
 }
--- a/transport/entry/proxy.go
+++ b/transport/entry/proxy.go
@@ -30,10 +30,10 @@
 	return p
 }
 
-// ServeHTTP implements http.Handler. A response that breaks off makes it panic
-// with http.ErrAbortHandler, which aborts the caller's connection. Requests
-// for the older system are passed on untouched only on connections accepted by
-// Serve.
+// ServeHTTP implements http.Handler. When a response can't be relayed whole, it panics
+// with http.ErrAbortHandler, which aborts the caller's connection. Requests for the
+// older system are forwarded byte for byte only on connections accepted by Serve; on
+// others they are rebuilt from the parsed request.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := p.cfg.Now()
 	pl, refusal := p.decide(r, start)
@@ -46,13 +46,13 @@
 	}
 	if refusal != nil {
 		p.metrics.record(&pl.match, refusal.Outcome, refusal.Reason, p.cfg.Now().Sub(start))
-		p.lastOnConnection(w)
+		p.closeIfLeaving(w)
 		refusal.Write(w)
 	}
 }
 
-// admit serves the request under the organisation's limits. It returns a refusal
-// that still has to be written, or nil when the answer was passed on.
+// admit admits the request under the organisation's limits and serves it. It returns
+// a refusal that the caller of admit must write, or nil when the response was relayed.
 func (p *Proxy) admit(w http.ResponseWriter, r *http.Request, pl *plan, start time.Time) *forward.Refusal {
 	permit, refused := p.cfg.Admit.Admit(start, pl.match)
 	if refused != nil {
@@ -66,20 +66,21 @@
 	if refusal := x.run(); refusal != nil {
 		return refusal
 	}
-	p.lastOnConnection(w)
+	p.closeIfLeaving(w)
 	err := x.relay()
 	p.metrics.record(&pl.match, outcome.Answered, "", p.cfg.Now().Sub(start))
-	x.abortIfCut(err)
+	x.abortIfIncomplete(err)
 	return nil
 }
 
-// abortIfCut aborts the caller's connection when its answer is not whole.
-func (x *exchange) abortIfCut(err error) {
+// abortIfIncomplete aborts the caller's connection when err, from relay, shows that
+// the response was not relayed whole.
+func (x *exchange) abortIfIncomplete(err error) {
 	if err == nil {
 		return
 	}
-	var cut *forward.TruncatedError
-	if errors.As(err, &cut) {
+	var truncated *forward.TruncatedError
+	if errors.As(err, &truncated) {
 		x.p.metrics.truncated.Inc()
 		_ = level.Warn(x.p.cfg.Logger).Log("event", "response_truncated",
 			"organisation", x.plan.match.Contract.Organisation, "route", x.plan.match.Route.Name, "err", err)
--- a/transport/entry/proxy_test.go
+++ b/transport/entry/proxy_test.go
@@ -23,7 +23,7 @@
 	return string(b)
 }
 
-func (b *bed) do(t testing.TB, r *http.Request) *http.Response {
+func (b *testBed) do(t testing.TB, r *http.Request) *http.Response {
 	t.Helper()
 	resp, err := b.client.Do(r)
 	must.NoError(t, err)
@@ -31,10 +31,10 @@
 	return resp
 }
 
-// Each caller gets the answer to its own request, also while others are slow
-// or give up.
-func TestAnswersAreNotCrossed(t *testing.T) {
-	b := newBed()
+// Each caller gets the response to its own request, even while other requests are slow
+// or cancelled.
+func TestResponsesAreNotCrossed(t *testing.T) {
+	b := newTestBed()
 	b.work = backend.New(backend.Config{Slots: 200, Faults: backend.Faults{SpreadMillis: 20, ServiceMillis: 10}})
 	b.start(t)
 	var wg sync.WaitGroup
@@ -44,7 +44,7 @@
 				want := fmt.Sprintf("caller %d call %d", i, j)
 				ctx, cancel := context.WithCancel(t.Context())
 				if i%5 == 0 && j%2 == 0 {
-					cancel() // gives up; the connection must not answer another
+					cancel() // its response must not reach another request
 				}
 				r := b.request(t, "POST", "/echo", want).WithContext(ctx)
 				r.Header.Set(backend.HeaderRequestID, want)
@@ -63,10 +63,10 @@
 	wg.Wait()
 }
 
-// While the proxy leaves, connections end with an answer or a refusal, so that
-// none is idle when it closes them.
+// Between Leave and Shutdown, each connection is closed with its next response or
+// refusal, so that none in use is idle when Shutdown closes idle connections.
 func TestLeavingEndsConnections(t *testing.T) {
-	b := newBed().start(t)
+	b := newTestBed().start(t)
 	must.False(t, b.do(t, b.request(t, "GET", "/x", "")).Close)
 	b.proxy.Leave()
 	must.True(t, b.do(t, b.request(t, "GET", "/x", "")).Close)
--- a/transport/entry/quarantine_test.go
+++ b/transport/entry/quarantine_test.go
@@ -19,15 +19,16 @@
 	"github.com/jacinthgate/jacinthgate/state/suspect"
 )
 
-// crashing is a backend server that ends when it runs "/deadly", and is back at once.
-type crashing struct {
-	t     *testing.T
-	addr  string
-	ended atomic.Int64
-	up    atomic.Bool
+// crashingBackend is a backend server that crashes when it runs "/deadly" and restarts
+// after 100 ms.
+type crashingBackend struct {
+	t       *testing.T
+	addr    string
+	crashes atomic.Int64
+	up      atomic.Bool
 }
 
-func (c *crashing) start() {
+func (c *crashingBackend) start() {
 	ln, err := net.Listen("tcp", c.addr)
 	must.NoError(c.t, err)
 	c.addr = ln.Addr().String()
@@ -36,22 +37,23 @@
 		if r.URL.Path != "/deadly" || !c.up.CompareAndSwap(true, false) {
 			return
 		}
-		_ = server.Close() // nothing is left to do about it
-		c.ended.Add(1)
+		_ = server.Close() // an error changes nothing: the server crashes
+		c.crashes.Add(1)
 		time.AfterFunc(100*time.Millisecond, c.start)
 		panic(http.ErrAbortHandler)
 	})
 	c.up.Store(true)
-	go func() { _ = server.Serve(ln) }() // it ends by Close
+	go func() { _ = server.Serve(ln) }() // Close ends it
 }
 
-// A request ended each backend server that ran it, and its caller asked again: nothing
-// remembered it from one time to the next. Evidence: the requests that broke off with
-// a backend server had it in common, again and again.
+// A request crashes each backend server that runs it, and its caller retries it. Without
+// a record of crashes that outlasts the attempt, each retry crashes another backend
+// server. The fingerprint that is in flight at one crash after the other is the evidence
+// by which the request is quarantined.
 func TestRequestThatEndsBackendServersIsNotSentOn(t *testing.T) {
 	suspects := quarantine.New(1)
 	var view atomic.Pointer[suspect.View]
-	b := newBed()
+	b := newTestBed()
 	b.crashed = func(c suspect.Crash, fingerprints []suspect.Fingerprint) {
 		var ev core.Event = quarantine.Crashed{Crash: c, Fingerprints: fingerprints}
 		suspects.Step(time.Now(), ev)
@@ -59,7 +61,7 @@
 	}
 	b.cfg.Suspects = view.Load
 	b.class.Repeatable = true
-	c := &crashing{t: t, addr: "127.0.0.1:0"}
+	c := &crashingBackend{t: t, addr: "127.0.0.1:0"}
 	c.start()
 	b.work, b.addr = nil, c.addr
 	b.start(t)
@@ -71,7 +73,7 @@
 		last = resp.StatusCode
 		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(c.up.Load), wait.Timeout(20*time.Second), wait.Gap(time.Millisecond)))
 	}
-	must.Eq(t, suspect.Threshold, c.ended.Load())
+	must.Eq(t, suspect.Threshold, c.crashes.Load())
 	must.Eq(t, http.StatusServiceUnavailable, last)
 	resp, err := b.client.Do(b.request(t, http.MethodGet, "/other", ""))
 	must.NoError(t, err)
--- a/transport/entry/raw_copy.go
+++ b/transport/entry/raw_copy.go
@@ -7,24 +7,25 @@
 	"strconv"
 )
 
-// Bounds on the older system's responses.
+// Bounds on raw messages.
 const (
 	// maxRawHead is the largest head, in bytes.
 	maxRawHead = 1 << 20
-	// maxChunkLine is the longest line before a chunk, in bytes.
+	// maxChunkLine is the longest chunk-size line, extensions included, in bytes.
 	maxChunkLine = 4 << 10
 )
 
-// FramingError reports bytes that don't follow HTTP/1.1's framing.
+// FramingError reports bytes that violate the framing of HTTP/1.1.
 type FramingError struct {
-	// What is the part that is wrong.
+	// What names the invalid element.
 	What string
 }
 
 // Error implements error.
 func (e *FramingError) Error() string { return "framing: " + e.What }
 
-// readHead returns a head as it arrived, its empty line included.
+// readHead returns a message's head, or a trailer section, byte for byte, the empty
+// line at its end included.
 func readHead(r *bufio.Reader) ([]byte, error) {
 	var head []byte
 	for {
@@ -39,7 +40,7 @@
 	}
 }
 
-// readLine returns a line of at most limit bytes with its end.
+// readLine returns a line of at most limit bytes, its line ending included.
 func readLine(r *bufio.Reader, limit int) ([]byte, error) {
 	var line []byte
 	for {
@@ -57,7 +58,7 @@
 	}
 }
 
-// copyChunked copies a chunked body with its trailers as it stands.
+// copyChunked copies a chunked body and its trailers byte for byte.
 func copyChunked(w io.Writer, r *bufio.Reader) error {
 	for {
 		line, err := readLine(r, maxChunkLine)
@@ -74,7 +75,7 @@
 		if size == 0 {
 			return copyTrailers(w, r)
 		}
-		// The chunk is followed by an end of line.
+		// A line ending follows the chunk's data.
 		if _, err := io.CopyN(w, r, size); err != nil {
 			return err
 		}
--- a/transport/entry/server.go
+++ b/transport/entry/server.go
@@ -7,7 +7,7 @@
 	"net/http"
 )
 
-// newServer returns the server of callers' connections.
+// newServer returns the HTTP server that handles callers' connections.
 func newServer(p *Proxy) *http.Server {
 	return &http.Server{
 		Handler:           p,
@@ -29,21 +29,20 @@
 	return err
 }
 
-// Leave closes each caller's connection after its next answer. It is called some
-// time before Shutdown, which closes idle connections: a request that a caller
-// sends at that very moment gets no answer, though it was not run.
+// Leave makes the proxy close each caller's connection after its next response. It
+// is called some time before Shutdown, which closes idle connections: a request that
+// arrives on such a connection at that moment gets no response, though it was not run.
 func (p *Proxy) Leave() { p.leaving.Store(true) }
 
-// lastOnConnection tells the caller that its connection ends with this answer,
-// while the proxy is leaving.
-func (p *Proxy) lastOnConnection(w http.ResponseWriter) {
+// closeIfLeaving sets "Connection: close" on the response once Leave has been called.
+func (p *Proxy) closeIfLeaving(w http.ResponseWriter) {
 	if p.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
 // Shutdown stops accepting connections and waits until the requests in flight
-// have been answered, or ctx ends.
+// have been answered, or until ctx ends.
 func (p *Proxy) Shutdown(ctx context.Context) error {
 	if err := p.server.Shutdown(ctx); err != nil {
 		return err
--- a/transport/entry/stream_test.go
+++ b/transport/entry/stream_test.go
@@ -23,7 +23,7 @@
 
 func TestStreamsTrailersAndEarlyHints(t *testing.T) {
 	seen := make(chan struct{})
-	b := newBed()
+	b := newTestBed()
 	b.work = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Link", "</a>")
@@ -31,7 +31,7 @@
 		w.Header().Set("Trailer", "X-Sum")
 		_, _ = io.WriteString(w, "first")
 		_ = http.NewResponseController(w).Flush()
-		<-seen // the caller has the first part before there is a second
+		<-seen // the caller must get the first part before the second is written
 		_, _ = io.WriteString(w, "second")
 		w.Header().Set("X-Sum", r.Trailer.Get("X-In"))
 	})
@@ -58,11 +58,11 @@
 	must.Eq(t, 1, hints)
 }
 
-// An answer that breaks off is cut for the caller as well, or is answered as
-// unknown where none of it was passed on yet.
-func TestCutAnswerIsNeverWhole(t *testing.T) {
+// A response that is truncated by the backend server is truncated for the caller as
+// well, or replaced by an unknown outcome if none of it was relayed yet.
+func TestTruncatedResponseIsNeverComplete(t *testing.T) {
 	for _, size := range []int{100, 1 << 20} {
-		b := newBed()
+		b := newTestBed()
 		b.work = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write(make([]byte, size/2))
 			_ = http.NewResponseController(w).Flush()
@@ -80,7 +80,7 @@
 	}
 }
 
-// countingBody tells whether any of it was read.
+// countingBody counts the reads of a body.
 type countingBody struct {
 	io.Reader
 	reads int
@@ -92,8 +92,8 @@
 	return c.Reader.Read(p)
 }
 
-func TestBackendDecidesOnTheBody(t *testing.T) {
-	b := newBed()
+func TestBackendServerDecidesOnExpectedBody(t *testing.T) {
+	b := newTestBed()
 	b.work = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/refuse" {
 			w.WriteHeader(http.StatusExpectationFailed)
@@ -115,7 +115,7 @@
 
 func TestCallersCancellationReachesTheBackend(t *testing.T) {
 	started, ended := make(chan struct{}), make(chan struct{})
-	b := newBed()
+	b := newTestBed()
 	b.work = http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-r.Context().Done()
@@ -132,10 +132,11 @@
 	<-ended
 }
 
-// A request that is given up on is answered at once, with an honest unknown.
+// A request whose deadline passes while it runs is answered at once, with the outcome
+// unknown.
 func TestDeadlineIsAnsweredAsUnknown(t *testing.T) {
 	ended := make(chan struct{})
-	b := newBed()
+	b := newTestBed()
 	b.work = http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(ended)
@@ -149,9 +150,9 @@
 	<-ended
 }
 
-func TestHostileHeads(t *testing.T) {
+func TestUntrustedHeadersAreRemovedOrRefused(t *testing.T) {
 	got := make(chan http.Header, 1)
-	b := newBed()
+	b := newTestBed()
 	b.work = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got <- r.Header
 		w.Header().Set(outcome.HeaderOutcome, string(outcome.NotRun))
@@ -181,9 +182,9 @@
 	must.Eq(t, http.StatusRequestHeaderFieldsTooLarge, b.do(t, r).StatusCode)
 }
 
-// The answer may begin before the request's body has ended.
-func TestAnswerWhileTheBodyStreams(t *testing.T) {
-	b := newBed()
+// A response may begin before the request's body has ended.
+func TestResponseBeginsBeforeRequestBodyEnds(t *testing.T) {
+	b := newTestBed()
 	b.work = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rc := http.NewResponseController(w)
 		must.NoError(t, rc.EnableFullDuplex())
@@ -216,9 +217,10 @@
 	must.Eq(t, "", read(t, resp))
 }
 
-// A body that was not read yet can go to another host.
+// A request with a streamed body can be retried at another host if none of the body
+// was read.
 func TestUnsentStreamGoesToAnotherHost(t *testing.T) {
-	b := newBed().start(t)
+	b := newTestBed().start(t)
 	table := endpoint.NewTable()
 	table.Put(b.view.Load().Service("rooms")[0])
 	table.Put(endpoint.Record{Node: "gone", Service: "rooms", GateAddr: "127.0.0.1:1"})
@@ -231,10 +233,10 @@
 	}
 }
 
-// A request of the older system whose head is not at hand is rebuilt; when it
-// breaks after it was sent, the answer is unknown.
-func TestBrokenOlderSystemIsUnknown(t *testing.T) {
-	b := newBed()
+// A request for the older system whose raw head was not recorded is rebuilt. If the
+// connection is lost after the request was sent, its outcome is unknown.
+func TestLostConnectionToOlderSystemIsUnknown(t *testing.T) {
+	b := newTestBed()
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	defer s.Close()
 	b.cfg.OlderAddr = s.Listener.Addr().String()
@@ -243,9 +245,9 @@
 	must.Eq(t, string(outcome.Unknown), resp.Header.Get(outcome.HeaderOutcome))
 }
 
-// A caller whose body doesn't come is answered at its deadline.
+// A caller whose body does not arrive in time is answered at its deadline.
 func TestSlowBodyEndsAtTheDeadline(t *testing.T) {
-	b := newBed().start(t)
+	b := newTestBed().start(t)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 	must.NoError(t, err)
 	defer conn.Close()
--- a/transport/entry/unready_test.go
+++ b/transport/entry/unready_test.go
@@ -10,10 +10,11 @@
 	"github.com/jacinthgate/jacinthgate/protocol/outcome"
 )
 
-// While a node is not ready, what the mesh handles and what may be the repeat of
-// a keyed request is refused; only the rest goes to the older system.
+// A node that is not ready refuses requests that the mesh handles, and requests with an
+// idempotency key, which may be retries of requests that ran in the mesh. Only the others
+// go to the older system.
 func TestUnreadyNodeAndTheOlderSystem(t *testing.T) {
-	b := newBed().start(t)
+	b := newTestBed().start(t)
 	p := b.proxy
 	p.cfg.OlderAddr = "127.0.0.1:1"
 	p.cfg.Ready = func() bool { return false }
--- a/transport/local/announcement.go
+++ b/transport/local/announcement.go
@@ -1,6 +1,6 @@
-// Package local is the HTTP API that a node offers to the backend server on
-// its own host: the server announces itself there, renews its announcement and
-// says when it drains.
+// Package local is the HTTP API that a node offers to the backend server on its own
+// host. The backend server uses it to announce itself, to renew its announcement, and
+// to start and end a drain.
 package local
 
 import (
@@ -9,41 +9,42 @@
 	"time"
 )
 
-// Announcement is what a backend server says of itself. It is immutable.
+// Announcement is a backend server's registration at the node of its host: its service,
+// address and capacity. It is immutable.
 type Announcement struct {
 	// Service is the service offered; empty when none is announced.
 	Service string `json:"service"`
 	// Addr is the backend server's TCP address, IP:port.
 	Addr string `json:"address"`
-	// Slots is the number of requests it runs at one time.
+	// Slots is the number of requests that the backend server runs concurrently.
 	Slots int `json:"slots"`
-	// Connections is the number of connections it accepts.
+	// Connections is the number of connections that the backend server accepts.
 	Connections int `json:"connections"`
-	// Draining says that it takes no new work.
+	// Draining reports whether the backend server takes no new requests.
 	Draining bool `json:"draining,omitempty"`
-	// Since is when this server was first announced; a new address or service
-	// starts anew. Slow start counts from it.
+	// Since is the time of the first announcement with this address and service.
+	// Slow start is measured from it.
 	Since time.Time `json:"-"`
 }
 
-// Announced reports whether there is a backend server.
+// Announced reports whether a backend server is announced.
 func (a Announcement) Announced() bool { return a.Service != "" }
 
-// maxSlots bounds what a backend server may claim.
+// maxSlots bounds the slots and the connections that a backend server may announce.
 const maxSlots = 1 << 16
 
-// FieldError reports a field of an announcement that can't be used.
+// FieldError reports an invalid field of an announcement.
 type FieldError struct {
 	// Field is the field's JSON name.
 	Field string
-	// Want says what would be right.
+	// Want describes the valid values.
 	Want string
 }
 
 // Error implements error.
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s: want %s", e.Field, e.Want) }
 
-// maxServiceName is the longest name of a service in bytes.
+// maxServiceName is the maximum length of a service name, in bytes.
 const maxServiceName = 63
 
 func (a Announcement) validate() error {
--- a/transport/local/handler.go
+++ b/transport/local/handler.go
@@ -26,12 +26,14 @@
 // status is the body of an accepted request.
 type status struct {
 	Announcement
-	// RenewSeconds is how often to renew the announcement.
+	// RenewSeconds is the interval at which the backend server must renew its
+	// announcement.
 	RenewSeconds float64 `json:"renewSeconds"`
 }
 
-// Handler returns the API: POST /announce, /drain, /undrain and /withdraw, and
-// GET /announcement. It is served on the host's loopback address only.
+// Handler returns the handler of the API: POST /announce, /drain, /undrain and
+// /withdraw, and GET /announcement. It must be served only on the host's loopback
+// address.
 func (r *Registry) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /announce", r.handleAnnounce)
@@ -50,7 +52,7 @@
 	d.DisallowUnknownFields()
 	var a Announcement
 	if err := d.Decode(&a); err != nil {
-		write(w, http.StatusBadRequest, refusal{Code: codeMalformed, Detail: err.Error()})
+		writeJSON(w, http.StatusBadRequest, refusal{Code: codeMalformed, Detail: err.Error()})
 		return
 	}
 	r.reply(w, r.Announce(a))
@@ -61,16 +63,16 @@
 	var missing *NoServerError
 	switch {
 	case errors.As(err, &field):
-		write(w, http.StatusUnprocessableEntity, refusal{Code: codeInvalid, Field: field.Field, Detail: err.Error()})
+		writeJSON(w, http.StatusUnprocessableEntity, refusal{Code: codeInvalid, Field: field.Field, Detail: err.Error()})
 	case errors.As(err, &missing):
-		write(w, http.StatusConflict, refusal{Code: codeNoServer, Detail: err.Error()})
+		writeJSON(w, http.StatusConflict, refusal{Code: codeNoServer, Detail: err.Error()})
 	default:
-		write(w, http.StatusOK, status{Announcement: r.Current(), RenewSeconds: r.cfg.Interval.Seconds()})
+		writeJSON(w, http.StatusOK, status{Announcement: r.Current(), RenewSeconds: r.cfg.Interval.Seconds()})
 	}
 }
 
-func write(w http.ResponseWriter, code int, body any) {
+func writeJSON(w http.ResponseWriter, code int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	_ = json.NewEncoder(w).Encode(body) // the server may be gone; it renews later
+	_ = json.NewEncoder(w).Encode(body) // the backend server may have disconnected; it renews later
 }
--- a/transport/local/registry.go
+++ b/transport/local/registry.go
@@ -8,10 +8,10 @@
 
 // Config configures a Registry.
 type Config struct {
-	// Interval is how often a backend server must renew its announcement.
+	// Interval is the interval at which a backend server must renew its announcement.
 	Interval time.Duration
-	// MissedIntervals is the number of intervals without renewal after which
-	// the announcement is withdrawn.
+	// MissedIntervals is the number of intervals without a renewal after which the
+	// announcement is withdrawn.
 	MissedIntervals int
 	// Now is the clock.
 	Now func() time.Time
@@ -22,17 +22,17 @@
 	return Config{Interval: 2 * time.Second, MissedIntervals: 3, Now: time.Now}
 }
 
-// Registry keeps the announcement of the host's one backend server. It is safe
-// for concurrent use.
+// Registry holds the announcement of the host's only backend server. It is safe for
+// concurrent use.
 type Registry struct {
 	cfg     Config
 	current atomic.Pointer[Announcement]
 
 	mu      sync.Mutex
-	renewed time.Time
-	// restored says that the next server announced is draining.
-	restored bool
-	onChange func(Announcement)
+	renewed time.Time // the last announcement or renewal
+	// drainNext makes the next announced backend server draining.
+	drainNext bool
+	onChange  func(Announcement)
 }
 
 // New returns a registry without an announcement.
@@ -42,21 +42,22 @@
 	return r
 }
 
-// Current returns the announcement in force. It is one atomic load.
+// Current returns the current announcement; the zero value if there is none. It is one
+// atomic load.
 func (r *Registry) Current() Announcement { return *r.current.Load() }
 
-// OnChange sets the function that is called, in order and one at a time, after
-// each change; renewals are none. It must not call back into the Registry
-// except Current.
+// OnChange sets the function that is called after each change of the announcement, in
+// order and one call at a time. Renewals are not changes. The function must not call
+// any method of the Registry but Current.
 func (r *Registry) OnChange(f func(Announcement)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.onChange = f
 }
 
-// Announce stores or renews an announcement. It returns a *FieldError and
-// changes nothing when a is not valid. A renewal keeps the draining state: only
-// Undrain or a withdrawal ends a drain.
+// Announce stores or renews an announcement. It returns a *FieldError and changes
+// nothing if a is invalid. A renewal preserves the draining state: a drain ends only by
+// Drain(false), by a withdrawal, or when another address or service is announced.
 func (r *Registry) Announce(a Announcement) error {
 	if err := a.validate(); err != nil {
 		return err
@@ -71,14 +72,14 @@
 		a.Since = old.Since
 		a.Draining = a.Draining || old.Draining
 	}
-	a.Draining = a.Draining || r.restored
-	r.restored = false
+	a.Draining = a.Draining || r.drainNext
+	r.drainNext = false
 	r.set(a)
 	return nil
 }
 
-// Drain sets or clears the draining state. It returns a *NoServerError when no
-// backend server is announced.
+// Drain sets or clears the draining state. It returns a *NoServerError if no backend
+// server is announced.
 func (r *Registry) Drain(draining bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,14 +92,14 @@
 	return nil
 }
 
-// RestoreDrain brings back a drain that was asked for before the node started
-// anew: a backend server announced now, or next, is draining.
+// RestoreDrain restores a drain that was requested before the node restarted: the
+// current backend server, or the next one to be announced, is draining.
 func (r *Registry) RestoreDrain() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a := r.Current()
 	if !a.Announced() {
-		r.restored = true
+		r.drainNext = true
 		return
 	}
 	a.Draining = true
@@ -112,7 +113,7 @@
 	r.set(Announcement{})
 }
 
-// Tick withdraws an announcement that was not renewed in time. Drivers call it
+// Tick withdraws the announcement if it was not renewed in time. It should be called
 // about every second.
 func (r *Registry) Tick() {
 	r.mu.Lock()
@@ -123,6 +124,7 @@
 	}
 }
 
+// set replaces the announcement and calls onChange if it differs. r.mu must be held.
 func (r *Registry) set(a Announcement) {
 	if a == r.Current() {
 		return
--- a/transport/local/registry_test.go
+++ b/transport/local/registry_test.go
@@ -51,13 +51,13 @@
 	}
 }
 
-func TestLifeOfAnAnnouncement(t *testing.T) {
+func TestAnnouncementLifecycle(t *testing.T) {
 	r, now, changes := newRegistry()
 	must.Eq(t, 200, post(r, "/announce", announcement).Code)
 	must.Eq(t, 200, post(r, "/drain", "").Code)
 	since := r.Current().Since
 
-	// Renewals are no changes and don't end the drain.
+	// Renewals are not reported as changes and don't end the drain.
 	for range 5 {
 		*now = now.Add(5 * time.Second)
 		must.Eq(t, 200, post(r, "/announce", announcement).Code)
@@ -76,7 +76,8 @@
 	must.False(t, r.Current().Announced())
 	must.Len(t, 4, *changes)
 
-	// A server that comes back is cold again.
+	// A backend server that is announced again after a withdrawal is in slow start
+	// again.
 	must.Eq(t, 200, post(r, "/announce", announcement).Code)
 	must.Eq(t, *now, r.Current().Since)
 	must.Eq(t, 200, post(r, "/withdraw", "").Code)
