--- a/transport/entry/body.go
+++ b/transport/entry/body.go
@@ -45,7 +45,7 @@
 // not arrive before the deadline.
 func (x *exchange) readBody() *forward.Refusal {
 	rc := http.NewResponseController(x.w)
-	_ = rc.SetReadDeadline(x.plan.deadline) // if unsupported, the caller ends the read
+	_ = rc.SetReadDeadline(x.plan.deadline) // if unsupported, only the caller can end the read
 	if _, err := io.ReadFull(x.r.Body, x.body); err != nil {
 		return x.incompleteBody(err)
 	}
--- a/transport/entry/claim.go
+++ b/transport/entry/claim.go
@@ -119,8 +119,8 @@
 	x.claim = nil
 }
 
-// storedFields returns the header fields that are stored with a response: those that
-// belong neither to the connection nor to the nodes.
+// storedFields returns the header fields that are stored with a response: all but the
+// hop-by-hop fields, those of the nodes, and Content-Length, which the replay sets.
 func storedFields(h http.Header) []claim.Field {
 	h = h.Clone()
 	forward.RemoveHopByHop(h)
--- a/transport/entry/exchange.go
+++ b/transport/entry/exchange.go
@@ -31,7 +31,7 @@
 	// that was read.
 	body     []byte
 	buffered bool
-	// fingerprint identifies equal requests in the quarantine.
+	// fingerprint is the key by which the quarantine recognises equal requests.
 	fingerprint suspect.Fingerprint
 	// stream is the body if it is not buffered.
 	stream *forward.StreamBody
