--- a/transport/callers/attend.go
+++ b/transport/callers/attend.go
@@ -2,27 +2,26 @@
 
 import "io"
 
-// attend waits until a request that ends its connection is answered. Nothing is read
-// for an answer meanwhile, but a caller that leaves shows only where its connection is
-// read: its request is then cancelled. What a caller sends behind such a request is
-// thrown away.
-func (c *conn) attend(x *exchange) {
+// awaitFinal waits until the final request of a connection is answered. Meanwhile it reads
+// the connection, since only a read detects that the caller closes it: the request is then
+// cancelled. Bytes behind the request are discarded, up to maxDiscard.
+func (c *conn) awaitFinal(x *exchange) {
 	if x.hasBody() {
 		select {
-		case <-x.bodyEnd: // until then the handler reads
+		case <-x.bodyEnd: // until then the handler reads the connection
 		case <-x.done:
 			return
 		}
 	}
-	// The answer's end sets a deadline that is past, and so ends the reading.
-	if _, err := io.CopyN(io.Discard, c.br, maxDiscard); err != nil && !x.answered() {
-		c.callerLeft()
+	// When the response is complete, armIdle sets a deadline in the past, which ends the read.
+	if _, err := io.CopyN(io.Discard, c.br, maxDiscard); err != nil && !x.isDone() {
+		c.handleCallerGone()
 	}
 	<-x.done
 }
 
-// answered reports whether the response is complete.
-func (x *exchange) answered() bool {
+// isDone reports whether the request has been dealt with.
+func (x *exchange) isDone() bool {
 	select {
 	case <-x.done:
 		return true
--- a/transport/callers/check.go
+++ b/transport/callers/check.go
@@ -6,7 +6,8 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// check refuses what http.ReadRequest lets pass and net/http's server doesn't.
+// check rejects invalid requests that http.ReadRequest accepts and net/http's server
+// doesn't. The error is a *requestError.
 func check(req *http.Request) error {
 	switch {
 	case req.ProtoMajor != 1:
--- a/transport/callers/conn.go
+++ b/transport/callers/conn.go
@@ -11,15 +11,17 @@
 )
 
 const (
-	// connBuffer is the size of a connection's buffers, in bytes.
+	// connBuffer is the size of a connection's read buffer and write buffer, in
+	// bytes.
 	connBuffer = 4 << 10
-	// maxDiscard bounds what is read of a body that the handler has left, in
-	// bytes; a longer rest ends the connection.
+	// maxDiscard bounds how much of a body that the handler didn't read is
+	// discarded to reach the next request, in bytes. If more is left, the
+	// connection is closed.
 	maxDiscard = 256 << 10
 )
 
-// conn is one caller's connection. Its serve goroutine reads requests; each is
-// answered on a goroutine of its own.
+// conn is one caller's connection. Its serve goroutine reads requests; each request
+// is handled on a goroutine of its own.
 type conn struct {
 	server *Server
 	raw    net.Conn
@@ -28,23 +30,24 @@
 	head   headLimit
 	ctx    context.Context
 	cancel context.CancelFunc
-	slots  chan struct{} // bounds the requests that are worked on
+	slots  chan struct{} // bounds the requests that are handled concurrently
 
-	mu      sync.Mutex
-	open    []*exchange // requests that were read and are not answered, in order
-	reading bool        // a request has begun to arrive and isn't among open yet
-	ending  bool        // no further request is to be read
-	closing bool        // an answer that ends the connection has begun
-	ended   bool        // an answer that ends the connection was sent
-	left    bool        // the caller has closed the connection or gone silent
-	lingers bool        // the connection is only kept until the caller has what was sent
-	// brokenBy is the request whose answer was cut first; nothing more may be written then.
+	mu          sync.Mutex
+	pending     []*exchange // requests that were read and are not answered, in order
+	reading     bool        // a request has begun to arrive and isn't in pending yet
+	readStopped bool        // no further request is to be read
+	finalBegun  bool        // the final response, after which the connection is closed, has begun
+	finalSent   bool        // the final response was sent
+	callerGone  bool        // the caller has closed the connection or doesn't respond
+	lingering   bool        // the connection is only kept until the caller has received the last response
+	// brokenBy is the first request whose response was truncated; nothing may be written after it.
 	brokenBy *exchange
-	last     chan struct{}
-	// untaken is what the caller had not acknowledged at the last look, in bytes, and untakenSince
-	// when that was first seen. They belong to the goroutine that reads.
-	untaken      int
-	untakenSince time.Time
+	// newestDone is closed when the newest request is answered. Without a request it is closed.
+	newestDone chan struct{}
+	// unacked is the size of the send queue at the last check, in bytes, and unackedSince when that
+	// size was first seen. Only the goroutine that reads uses them.
+	unacked      int
+	unackedSince time.Time
 }
 
 func newConn(s *Server, raw net.Conn) *conn {
@@ -55,18 +58,18 @@
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	done := make(chan struct{})
 	close(done)
-	c.last = done
+	c.newestDone = done
 	return c
 }
 
-// serve reads requests until the connection ends.
+// serve reads requests and starts their handling until the connection ends.
 func (c *conn) serve() {
 	defer c.server.forget(c)
 	defer c.cancel()
 	for {
 		x, err := c.next()
 		if err != nil {
-			c.failed(err)
+			c.handleReadError(err)
 			return
 		}
 		if !c.start(x) {
@@ -76,20 +79,20 @@
 	}
 }
 
-// next reads one request.
+// next reads the head of the next request. The error is a *readError.
 func (c *conn) next() (*exchange, error) {
 	if err := c.awaitRequest(); err != nil {
-		return nil, &readError{err: err, between: true}
+		return nil, &readError{err: err, betweenRequests: true}
 	}
 	limits := c.server.cfg.Limits() // they may have changed while the connection was idle
-	c.head.allow(limits.HeaderBytes)
-	c.begin(limits)
+	c.head.limit(limits.HeaderBytes)
+	c.beginRequest(limits)
 	req, err := http.ReadRequest(c.br)
 	if err != nil {
 		return nil, &readError{err: err, tooLarge: c.head.exceeded}
 	}
 	c.head.unlimited()
-	_ = c.raw.SetReadDeadline(time.Time{}) // likewise
+	_ = c.raw.SetReadDeadline(time.Time{}) // the next read returns the error of a closed connection
 	if err := check(req); err != nil {
 		return nil, &readError{err: err}
 	}
@@ -97,23 +100,26 @@
 	return c.newExchange(req), nil
 }
 
-// start answers a request on a goroutine of its own and returns when the next
-// request may be read. A request that may not run again waits for the answers
-// before it: if one of them ends the connection, the caller sends what came
-// after it once more. So does one behind an answer that may break off. It reports
-// false when no request is to be read any more.
+// start handles a request on a goroutine of its own and returns when the next
+// request may be read. It returns false if no further request is to be read.
+//
+// A request other than GET and HEAD waits for the responses before it: if one of
+// them closes the connection, the caller sends all later requests again, and this
+// one must not run twice. A request with a body waits as well, and so does every
+// request behind a response that is streamed, since that may be truncated, which
+// closes the connection.
 func (c *conn) start(x *exchange) bool {
-	ahead := x.req.Method == http.MethodGet || x.req.Method == http.MethodHead
-	if !ahead || x.hasBody() || c.mayBreakOff() {
+	pipelined := x.req.Method == http.MethodGet || x.req.Method == http.MethodHead
+	if !pipelined || x.hasBody() || c.hasStreaming() {
 		c.awaitTurn(x)
 	}
-	if !c.takeSlot() || !c.admit(x) {
-		<-x.before
+	if !c.acquireSlot() || !c.admit(x) {
+		<-x.prevDone
 		return false
 	}
-	go c.answer(x)
-	if x.last.Load() {
-		c.attend(x)
+	go c.process(x)
+	if x.final.Load() {
+		c.awaitFinal(x)
 		return false
 	}
 	if !x.hasBody() {
@@ -122,77 +128,80 @@
 	select {
 	case <-x.bodyEnd: // the next request begins after the body
 	case <-x.done:
-		// Where the answer isn't whole or ends the connection, the handler may still read the body.
-		return x.whole && !x.last.Load()
+		// If the response is truncated or closes the connection, the handler's goroutines may still
+		// be reading the body.
+		return x.complete && !x.final.Load()
 	}
 	return true
 }
 
-// mayBreakOff reports whether one of the answers under way is sent before it is whole.
-func (c *conn) mayBreakOff() bool {
+// hasStreaming reports whether a response in flight is streamed, that is, sent before it is
+// complete.
+func (c *conn) hasStreaming() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.ContainsFunc(c.open, func(x *exchange) bool { return x.partial.Load() })
+	return slices.ContainsFunc(c.pending, func(x *exchange) bool { return x.streaming.Load() })
 }
 
-// admit counts a request that was read, unless the connection has ended before
-// it.
+// admit adds a request to the pending ones. It returns false if an earlier response
+// closes the connection.
 func (c *conn) admit(x *exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.brokenBy != nil || c.closing {
+	if c.brokenBy != nil || c.finalBegun {
 		return false
 	}
-	x.ahead = len(c.open)
-	c.open = append(c.open, x)
+	x.ahead = len(c.pending)
+	c.pending = append(c.pending, x)
 	c.reading = false
 	return true
 }
 
-// close notes that an answer ends the connection.
-func (c *conn) close(x *exchange) {
+// closeAfter marks a response as final: the connection is closed after it.
+func (c *conn) closeAfter(x *exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closing = true
-	x.last.Store(true)
+	c.finalBegun = true
+	x.final.Store(true)
 }
 
-// closeIfNewest lets an answer end the connection unless requests stand behind
-// it: those are answered first.
-func (c *conn) closeIfNewest(x *exchange) {
+// closeAfterIfNewest marks a response as final unless requests were read behind it:
+// those are answered first.
+func (c *conn) closeAfterIfNewest(x *exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.last == x.done {
-		c.closing = true
-		x.last.Store(true)
+	if c.newestDone == x.done {
+		c.finalBegun = true
+		x.final.Store(true)
 	}
 }
 
-// writable reports whether further answers may be written.
+// writable reports whether further responses may be written.
 func (c *conn) writable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.brokenBy == nil && !c.ended
+	return c.brokenBy == nil && !c.finalSent
 }
 
-// answer answers a request and reads what is left of it.
-func (c *conn) answer(x *exchange) {
-	defer c.answered(x)
-	if x.whole = c.respond(x); !x.whole {
-		if x.w.callerGone() {
-			c.callerLeft()
+// process handles a request, sends its response and discards the rest of its body. If
+// the response can't be completed, it closes the connection.
+func (c *conn) process(x *exchange) {
+	defer c.release(x)
+	if x.complete = c.respond(x); !x.complete {
+		if x.w.callerClosed() {
+			c.handleCallerGone()
 		}
-		c.breakOff(x)
+		c.abort(x)
 		return
 	}
 	if x.hasBody() && !x.drainBody() {
-		c.close(x)
+		c.closeAfter(x)
 	}
 }
 
-// respond runs the handler and completes its response. One that fails before a part of it was
-// sent is replaced, so that the other responses on the connection don't fail with it. It reports
-// false where the response isn't complete.
+// respond runs the handler and completes its response. A response that fails before any part of it
+// was sent is replaced, so that the other responses on the connection don't fail with it. It
+// returns false if the response is truncated.
 func (c *conn) respond(x *exchange) bool {
 	status := c.handle(x)
 	if status == 0 {
@@ -210,8 +219,8 @@
 	return true
 }
 
-// handle runs the handler. It returns the status to answer with where the handler failed, or
-// else 0.
+// handle runs the handler. If the handler fails, it returns the status of the response that
+// replaces the handler's, else 0.
 func (c *conn) handle(x *exchange) (status int) {
 	defer func() {
 		switch err := recover(); err {
@@ -227,15 +236,16 @@
 	return 0
 }
 
-// answered ends a request.
-func (c *conn) answered(x *exchange) {
+// release ends the handling of a request: it reports a truncated response, removes the request
+// from the pending ones, frees its slot and lets the next response begin.
+func (c *conn) release(x *exchange) {
 	x.cancel()
-	c.noteCut(x)
+	c.reportCut(x)
 	c.mu.Lock()
-	c.open = slices.DeleteFunc(c.open, func(o *exchange) bool { return o == x })
-	if x.last.Load() && !c.ended {
-		c.ended, c.ending = true, true
-		c.cancel() // what was sent behind it is not answered
+	c.pending = slices.DeleteFunc(c.pending, func(o *exchange) bool { return o == x })
+	if x.final.Load() && !c.finalSent {
+		c.finalSent, c.readStopped = true, true
+		c.cancel() // requests behind the final response are not answered
 	}
 	c.mu.Unlock()
 	<-c.slots
@@ -243,17 +253,17 @@
 	c.armIdle(c.server.cfg.Limits())
 }
 
-// breakOff ends the connection without completing a request's answer.
-func (c *conn) breakOff(x *exchange) {
+// abort closes the connection without completing a request's response.
+func (c *conn) abort(x *exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
-		return // the answer that ended the connection is left to arrive
+	if c.finalSent {
+		return // closing could keep the final response from arriving
 	}
 	if c.brokenBy == nil {
 		c.brokenBy = x
 	}
-	c.ending = true
+	c.readStopped = true
 	c.cancel()
-	_ = c.raw.Close() // the caller must not take a part for the whole
+	_ = c.raw.Close() // the caller must not take a truncated response for a complete one
 }
--- a/transport/callers/crossing_test.go
+++ b/transport/callers/crossing_test.go
@@ -13,34 +13,35 @@
 	"github.com/jacinthgate/jacinthgate/transport/sockopt"
 )
 
-// crossed is a connection on which something arrives just before it is closed.
-type crossed struct {
+// crossingConn is a connection on which bytes arrive just before it is closed: it calls arrive before
+// the first Close or CloseWrite.
+type crossingConn struct {
 	*net.TCPConn
 	once   sync.Once
 	arrive func()
 }
 
 // Close implements net.Conn.
-func (c *crossed) Close() error {
+func (c *crossingConn) Close() error {
 	c.once.Do(c.arrive)
 	return c.TCPConn.Close()
 }
 
-// CloseWrite closes the sending side.
-func (c *crossed) CloseWrite() error {
+// CloseWrite closes the sending side of the connection.
+func (c *crossingConn) CloseWrite() error {
 	c.once.Do(c.arrive)
 	return c.TCPConn.CloseWrite()
 }
 
-func TestRequestThatCrossesTheEndOfAnIdleConnectionIsLogged(t *testing.T) {
-	out := new(lines)
-	s, _ := startLimited(t, func() Limits { return Limits{IdleTimeout: time.Nanosecond} },
-		func(http.ResponseWriter, *http.Request) { t.Error("it was closed before") })
+func TestRequestThatArrivesAsAnIdleConnectionClosesIsLogged(t *testing.T) {
+	out := new(logBuffer)
+	s, _ := startWithLimits(t, func() Limits { return Limits{IdleTimeout: time.Nanosecond} },
+		func(http.ResponseWriter, *http.Request) { t.Error("a request on a closed connection was handled") })
 	s.cfg.Logger = log.NewLogfmtLogger(log.NewSyncWriter(out))
-	c, caller, br := accepted(t, s)
+	c, caller, br := acceptUnserved(t, s)
 	raw, ok := c.raw.(*net.TCPConn)
 	must.True(t, ok)
-	c.raw = &crossed{TCPConn: raw, arrive: func() {
+	c.raw = &crossingConn{TCPConn: raw, arrive: func() {
 		send(t, caller, get("/"))
 		eventually(t, "the request has arrived", func() bool { return sockopt.Pending(raw) })
 	}}
@@ -54,5 +55,5 @@
 	must.Error(t, err)
 	must.NoError(t, caller.Close())
 	<-ended
-	must.True(t, out.contains("event=bytes_unread"), must.Sprint("a request that arrived was thrown away without a trace"))
+	must.True(t, out.contains("event=bytes_unread"), must.Sprint("a request that arrived was discarded without a log line"))
 }
--- a/transport/callers/cut.go
+++ b/transport/callers/cut.go
@@ -7,63 +7,63 @@
 	"github.com/jacinthgate/jacinthgate/transport/sockopt"
 )
 
-// cutCause says why a request that was read gets no whole answer.
+// cutCause is the reason why a request that was read gets no complete response. It is a
+// label of a metric and a value in the log.
 type cutCause string
 
-// The causes.
 const (
-	// cutCallerLeft: the caller has closed its connection.
+	// cutCallerLeft: the caller closed its connection.
 	cutCallerLeft cutCause = "caller-left"
-	// cutBroken: the handler has broken the answer off, or it couldn't be written.
+	// cutBroken: the handler aborted the response, or it couldn't be written.
 	cutBroken cutCause = "broken"
-	// cutBehind: another request's answer has broken off and ended the connection.
+	// cutBehind: an earlier response was truncated, which closed the connection.
 	cutBehind cutCause = "behind"
-	// cutShutdown: the time for a graceful shutdown is over.
+	// cutShutdown: the time for a graceful shutdown ran out.
 	cutShutdown cutCause = "shutdown"
 )
 
-// CutError reports requests that a shutdown has left without an answer.
+// CutError is returned by a shutdown that ended while requests had no complete response.
 type CutError struct {
-	// Requests is their number.
+	// Requests is the number of such requests.
 	Requests int
 }
 
 // Error implements error.
 func (e *CutError) Error() string {
-	return strconv.Itoa(e.Requests) + " requests were under way at the end of the shutdown"
+	return strconv.Itoa(e.Requests) + " requests were still in flight at the end of the shutdown"
 }
 
-// count counts a request that gets no whole answer.
-func (s *Server) count(cause cutCause) {
+// countCut counts a request without a complete response.
+func (s *Server) countCut(cause cutCause) {
 	s.cfg.Metrics.GetOrCreateCounter(`jacinthgate_callers_cut_total{cause="` + string(cause) + `"}`).Inc()
 }
 
-// cancelOpen cancels the requests that are under way.
-func (s *Server) cancelOpen() {
+// cancelPending cancels the pending requests of all connections.
+func (s *Server) cancelPending() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.cancelOpen()
+		c.cancelPending()
 	}
 }
 
-// cancelOpen cancels a connection's requests that are under way.
-func (c *conn) cancelOpen() {
+// cancelPending cancels the connection's pending requests.
+func (c *conn) cancelPending() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, x := range c.open {
+	for _, x := range c.pending {
 		x.cancel()
 	}
 }
 
-// cutOpen notes the requests that are still under way, whose connections are about to be
-// closed.
-func (s *Server) cutOpen() error {
+// reportPending counts and logs the requests that are still pending at the end of a shutdown,
+// when their connections are about to be closed. It returns a *CutError if there are any.
+func (s *Server) reportPending() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
 	for c := range s.conns {
-		n += c.cutOpen()
+		n += c.reportPending()
 	}
 	if n == 0 {
 		return nil
@@ -71,86 +71,88 @@
 	return &CutError{Requests: n}
 }
 
-// cutOpen notes a connection's requests that are under way, and returns their number.
-func (c *conn) cutOpen() int {
+// reportPending counts and logs the connection's pending requests, and returns their number.
+func (c *conn) reportPending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, x := range c.open {
-		x.cut(cutShutdown, c.brokenBy)
+	for _, x := range c.pending {
+		x.reportCut(cutShutdown, c.brokenBy)
 	}
-	return len(c.open)
+	return len(c.pending)
 }
 
-// callerLeft cancels what a caller that has left still waits for.
-func (c *conn) callerLeft() {
+// handleCallerGone records that the caller has closed the connection, and cancels its requests.
+func (c *conn) handleCallerGone() {
 	c.mu.Lock()
-	c.left = true
+	c.callerGone = true
 	c.mu.Unlock()
 	c.cancel()
 }
 
-// callerHasLeft reports whether the caller has closed the connection or gone silent.
-func (c *conn) callerHasLeft() bool {
+// isCallerGone reports whether the caller has closed the connection or doesn't respond.
+func (c *conn) isCallerGone() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.left
+	return c.callerGone
 }
 
-// noteCut notes a request whose response isn't complete.
-func (c *conn) noteCut(x *exchange) {
-	if x.whole {
+// reportCut counts and logs a request whose response isn't complete, with the cause.
+func (c *conn) reportCut(x *exchange) {
+	if x.complete {
 		return
 	}
 	c.mu.Lock()
-	left, by := c.left, c.brokenBy
+	gone, by := c.callerGone, c.brokenBy
 	c.mu.Unlock()
 	switch {
-	case left:
-		x.cut(cutCallerLeft, by)
+	case gone:
+		x.reportCut(cutCallerLeft, by)
 	case by != nil && by != x:
-		x.cut(cutBehind, by)
+		x.reportCut(cutBehind, by)
 	default:
-		x.cut(cutBroken, by)
+		x.reportCut(cutBroken, by)
 	}
 }
 
-// noteUnread notes what has arrived on a connection after it was closed on this side.
-func (c *conn) noteUnread(bytes int64) {
+// logUnread logs the number of bytes that arrived on a connection after the server had closed it
+// for writing.
+func (c *conn) logUnread(bytes int64) {
 	if bytes == 0 {
 		return
 	}
 	_ = c.server.cfg.Logger.Log("event", "bytes_unread", "remote", c.raw.RemoteAddr().String(), "bytes", bytes)
 }
 
-// endBytes is what the end of a connection counts as in the kernel's queue.
+// endBytes is the size of a FIN in the kernel's send queue.
 const endBytes = 1
 
-// noteUnsent notes what the caller hasn't taken of the last answers, behind which the end of the
-// connection was sent.
-func (c *conn) noteUnsent() {
-	untaken, _ := sockopt.Unsent(c.raw) // 0 where it isn't known
-	if unsent := untaken - endBytes; unsent > 0 {
+// logUnsent logs how many bytes of the last responses the caller hasn't acknowledged. It is called
+// after CloseWrite, so that a FIN may be in the send queue.
+func (c *conn) logUnsent() {
+	unacked, _ := sockopt.Unsent(c.raw) // 0 if unknown
+	if unsent := unacked - endBytes; unsent > 0 {
 		_ = c.server.cfg.Logger.Log("event", "bytes_unsent", "remote", c.raw.RemoteAddr().String(), "bytes", unsent)
 	}
 }
 
-// cut counts a response that is cut, and logs it unless the caller has asked for that.
-// by is the request whose answer broke the connection off; nil where none did.
-func (x *exchange) cut(cause cutCause, by *exchange) {
-	if x.noted.Swap(true) {
+// reportCut counts a request without a complete response, once, and logs it unless the caller has
+// closed the connection itself. by is the request whose truncated response closed the connection;
+// nil if none did.
+func (x *exchange) reportCut(cause cutCause, by *exchange) {
+	if x.cutReported.Swap(true) {
 		return
 	}
 	s := x.conn.server
-	s.count(cause)
+	s.countCut(cause)
 	if cause == cutCallerLeft {
 		return
 	}
 	_ = s.cfg.Logger.Log("event", "request_cut", "request", s.idOf(x), "path", x.req.URL.Path,
-		"cause", cause, "leaving", s.leaving.Load(), "took", time.Since(x.began),
+		"cause", cause, "leaving", s.keepAliveOff.Load(), "took", time.Since(x.readAt),
 		"remote", x.conn.raw.RemoteAddr(), "ahead", x.ahead, "ready", x.ready.Load(), "begun", x.w.begun.Load(), "broken_by", s.idOf(by))
 }
 
-// idOf returns the identifier that the caller gave a request; empty for none.
+// idOf returns the identifier that the caller assigned to a request; empty for nil.
 func (s *Server) idOf(x *exchange) string {
 	if x == nil {
 		return ""
--- a/transport/callers/end.go
+++ b/transport/callers/end.go
@@ -7,83 +7,85 @@
 	"time"
 )
 
-// lingerTime is how long a connection that was closed on this side is read
-// on behind what its caller has taken: closing one with unread bytes would reset
-// it, and the caller might lose the last answer.
+// lingerTime is how long the server keeps reading a connection after it has closed
+// its sending side and the caller has acknowledged everything: closing a socket
+// with unread bytes resets the connection, and the caller might lose the last
+// response.
 const lingerTime = 500 * time.Millisecond
 
-// failed ends the connection when no further request can be read.
-func (c *conn) failed(err error) {
+// handleReadError ends the connection after the responses to the requests that were read. err is
+// the *readError because of which no further request can be read.
+func (c *conn) handleReadError(err error) {
 	c.mu.Lock()
-	asked := c.ending
-	c.ending = true
-	last := c.last
+	expected := c.readStopped
+	c.readStopped = true
+	last := c.newestDone
 	c.mu.Unlock()
 	var read *readError
-	between := errors.As(err, &read) && read.between
+	between := errors.As(err, &read) && read.betweenRequests
 	switch {
-	case between && (asked || errors.Is(err, os.ErrDeadlineExceeded)):
+	case between && (expected || errors.Is(err, os.ErrDeadlineExceeded)):
 		<-last
 	case between:
-		// The caller has left. What it still waits for is cancelled.
-		c.callerLeft()
+		// The caller has closed the connection.
+		c.handleCallerGone()
 		<-last
-		_ = c.raw.Close() // there is nobody to tell
+		_ = c.raw.Close() // the caller is gone
 		return
 	default:
 		_ = c.server.cfg.Logger.Log("event", "request_unreadable", "remote", c.raw.RemoteAddr().String(), "err", err)
 		<-last
 		if c.writable() {
-			c.refuse(read.status())
+			c.reject(read.status())
 		}
 	}
 	c.finish()
 }
 
-// refuse answers a request that can't be read.
-func (c *conn) refuse(status int) {
+// reject sends an error response to a request that can't be read.
+func (c *conn) reject(status int) {
 	_, _ = io.WriteString(c.bw, "HTTP/1.1 "+statusLine(status)+"\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-	_ = c.bw.Flush() // the connection ends in any case
+	_ = c.bw.Flush() // the connection is closed in any case
 }
 
-// finish ends the connection after the last answer.
+// finish closes the connection after the last response, lingering if it can be half closed.
 func (c *conn) finish() {
 	half, ok := c.raw.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
-		_ = c.raw.Close() // there is nothing more to say
+		_ = c.raw.Close() // nothing more is sent
 		return
 	}
 	if !c.linger() {
-		c.noteUnsent()
+		c.logUnsent()
 	}
-	_ = c.raw.Close() // nothing is left to do with it
+	_ = c.raw.Close() // nothing more is sent
 }
 
-// linger reads on until the caller closes the connection, or has had lingerTime since it has taken
-// all that was sent, or takes nothing any more. It reports whether the caller has closed it: nothing
-// that it sends can reset the connection then.
+// linger reads and discards until the caller closes the connection, or lingerTime has passed since
+// the caller acknowledged everything, or the caller stops receiving. It returns true if the caller
+// has closed the connection: no further bytes that could cause a reset arrive then.
 func (c *conn) linger() (closed bool) {
 	unread := int64(0)
-	defer func() { c.noteUnread(unread) }()
+	defer func() { c.logUnread(unread) }()
 	for {
-		untaken := c.untaken
-		c.lingerOn()
+		unacked := c.unacked
+		c.armLinger()
 		n, err := io.Copy(io.Discard, c.raw)
 		unread += n
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return true
 		}
-		if !c.takesOn() && c.untaken == untaken {
+		if !c.isReceiving() && c.unacked == unacked {
 			return false
 		}
 	}
 }
 
-// lingerOn bounds the time in which the connection is read on. The end of an answer doesn't change it
-// any more.
-func (c *conn) lingerOn() {
+// armLinger sets the deadline for lingering. From then on armIdle, which runs at the end of each
+// response, no longer changes the deadline.
+func (c *conn) armLinger() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lingers = true
-	_ = c.raw.SetReadDeadline(time.Now().Add(lingerTime)) // the read reports a closed one
+	c.lingering = true
+	_ = c.raw.SetReadDeadline(time.Now().Add(lingerTime)) // the read returns the error of a closed connection
 }
--- a/transport/callers/exchange.go
+++ b/transport/callers/exchange.go
@@ -15,50 +15,52 @@
 	req    *http.Request
 	w      *response
 	cancel context.CancelFunc
-	// before is closed when the response before this one is complete, done when
-	// this one is.
-	before <-chan struct{}
-	done   chan struct{}
+	// prevDone is closed when the previous request of the connection has been dealt with, done when
+	// this one has.
+	prevDone <-chan struct{}
+	done     chan struct{}
 	// bodyEnd is closed when the request's body was read to its end.
 	bodyEnd chan struct{}
-	// last says that the connection ends with this response.
-	last atomic.Bool
-	// began is when the request's head was read, and ahead the number of requests before it
-	// that were not answered then.
-	began time.Time
-	ahead int
-	// ready says that the handler has given its answer, which may wait for its turn.
+	// final is set if the connection is closed after this response.
+	final atomic.Bool
+	// readAt is when the request's head was read, and ahead the number of requests before it
+	// that were pending then.
+	readAt time.Time
+	ahead  int
+	// ready is set when the handler has returned; the response may still wait for its turn.
 	ready atomic.Bool
-	// partial says that the response is sent before it is whole, so that it may break off.
-	partial atomic.Bool
-	// whole says that the response is complete. The goroutine that answers sets it.
-	whole bool
-	// noted says that the log tells that the response was cut.
-	noted atomic.Bool
+	// streaming is set if the response is sent before it is complete, and so may be truncated.
+	streaming atomic.Bool
+	// complete is set if the response was sent to its end. The goroutine that handles the request
+	// sets it before done is closed.
+	complete bool
+	// cutReported is set once the response was counted as truncated.
+	cutReported atomic.Bool
 }
 
-// newExchange queues a request behind the one before it.
+// newExchange returns the exchange of a request that was read, queued behind the
+// previous one of the connection.
 func (c *conn) newExchange(req *http.Request) *exchange {
 	ctx, cancel := context.WithCancel(c.ctx)
-	x := &exchange{conn: c, cancel: cancel, done: make(chan struct{}), began: time.Now()}
+	x := &exchange{conn: c, cancel: cancel, done: make(chan struct{}), readAt: time.Now()}
 	x.req = req.WithContext(ctx)
-	x.last.Store(req.Close || c.server.leaving.Load())
+	x.final.Store(req.Close || c.server.keepAliveOff.Load())
 	c.mu.Lock()
-	x.before = c.last
-	c.last = x.done
+	x.prevDone = c.newestDone
+	c.newestDone = x.done
 	c.mu.Unlock()
 	x.w = &response{x: x, header: make(http.Header)}
 	if x.hasBody() {
 		x.bodyEnd = make(chan struct{})
 		expected := req.Header.Get("Expect") == "100-continue"
-		x.req.Body = &requestBody{ReadCloser: req.Body, x: x, expected: expected}
+		x.req.Body = &requestBody{ReadCloser: req.Body, x: x, expectsContinue: expected}
 	}
 	return x
 }
 
 func (x *exchange) hasBody() bool { return x.req.Body != nil && x.req.Body != http.NoBody }
 
-// bodyEnded reports whether the body was read to its end.
+// bodyEnded reports whether the request's body was read to its end.
 func (x *exchange) bodyEnded() bool {
 	select {
 	case <-x.bodyEnd:
@@ -68,48 +70,50 @@
 	}
 }
 
-// drainBody reads what the handler has left of the body and reports whether the
-// next request may follow.
+// drainBody discards the part of the body that the handler didn't read, and reports
+// whether the next request may be read. It reads nothing if the connection is closed
+// anyway.
 func (x *exchange) drainBody() bool {
-	if x.last.Load() {
+	if x.final.Load() {
 		return true
 	}
 	b := x.req.Body.(*requestBody)
-	if b.undecided() {
+	if b.awaitsContinue() {
 		return false
 	}
 	n, err := io.CopyN(io.Discard, b, maxDiscard)
 	return err == io.EOF || err == nil && n < maxDiscard
 }
 
-// leavesBody reports whether it is known that too much of the body is left for another request to
-// follow.
-func (x *exchange) leavesBody() bool {
+// bodyExceedsDiscard reports whether it is already known that drainBody can't reach the next
+// request, since the body's rest exceeds maxDiscard or the caller may leave it out.
+func (x *exchange) bodyExceedsDiscard() bool {
 	b, ok := x.req.Body.(*requestBody)
 	if !ok || x.bodyEnded() {
 		return false
 	}
-	return b.undecided() || x.req.ContentLength-b.read.Load() > maxDiscard
+	return b.awaitsContinue() || x.req.ContentLength-b.read.Load() > maxDiscard
 }
 
-// requestBody is a request's body. It asks for the body when it is first read,
-// where the caller waits for that, and tells when it was read to its end.
+// requestBody is a request's body. Its first Read sends "100 Continue" if the
+// caller waits for that. At the body's end it closes the exchange's bodyEnd.
 type requestBody struct {
 	io.ReadCloser
-	x        *exchange
-	expected bool
-	asked    atomic.Bool
-	read     atomic.Int64 // in bytes
-	once     sync.Once
+	x               *exchange
+	expectsContinue bool
+	continueSent    atomic.Bool
+	read            atomic.Int64 // in bytes
+	once            sync.Once
 }
 
-// undecided reports whether the caller may send the body or leave it out.
-func (b *requestBody) undecided() bool { return b.expected && !b.asked.Load() }
+// awaitsContinue reports whether "100 Continue" is expected and was not sent: the caller
+// may then send the body or leave it out.
+func (b *requestBody) awaitsContinue() bool { return b.expectsContinue && !b.continueSent.Load() }
 
 // Read implements io.Reader.
 func (b *requestBody) Read(p []byte) (int, error) {
-	if b.undecided() {
-		b.asked.Store(true)
+	if b.awaitsContinue() {
+		b.continueSent.Store(true)
 		b.x.w.proceed()
 	}
 	n, err := b.ReadCloser.Read(p)
--- a/transport/callers/flush_test.go
+++ b/transport/callers/flush_test.go
@@ -7,9 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestHeadersThatAreSetAfterAFlushAreNotSent(t *testing.T) {
+func TestHeadersSetAfterAFlushAreNotSent(t *testing.T) {
 	flushed := make(chan struct{})
-	_, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+	_, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/1" {
 			<-flushed
 			return
@@ -20,7 +20,7 @@
 	})
 	c, br := dial(t, addr)
 	send(t, c, get("/1")+get("/2"))
-	_, _ = answer(t, br)
-	resp, _ := answer(t, br)
+	_, _ = readResponse(t, br)
+	resp, _ := readResponse(t, br)
 	must.Eq(t, "", resp.Header.Get("Late"))
 }
--- a/transport/callers/fuzz_test.go
+++ b/transport/callers/fuzz_test.go
@@ -16,8 +16,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// requestsIn returns what net/http reads of a caller's bytes, one request after the
-// other: method, target and body.
+// requestsIn returns the requests that net/http parses from a caller's bytes, each as
+// method, target and body.
 func requestsIn(sent []byte) []string {
 	br := bufio.NewReader(bytes.NewReader(sent))
 	var all []string
@@ -29,14 +29,14 @@
 		body, err := io.ReadAll(req.Body)
 		all = append(all, req.Method+" "+req.RequestURI+" "+string(body))
 		if err != nil {
-			return all // a handler that leaves the body may still run
+			return all // a handler that doesn't read the body may still run
 		}
 	}
 }
 
-// FuzzNoRequestIsMadeUp sends any bytes on a connection. What the handler gets are
-// requests that were sent, whole and each once: a body is never taken for a request,
-// however it is framed, and whether the handler reads it or leaves it.
+// FuzzNoRequestIsMadeUp sends arbitrary bytes on a connection. The handler must only get
+// requests that were sent, complete and each once: bytes of a body must never be parsed
+// as a request, however the body is framed and whether the handler reads it or not.
 func FuzzNoRequestIsMadeUp(f *testing.F) {
 	for _, seed := range []string{
 		get("/1") + get("/2"),
@@ -83,21 +83,22 @@
 		c, err := net.Dial("tcp", l.Addr().String())
 		must.NoError(t, err)
 		defer c.Close()
-		_, _ = c.Write(sent) // the server may have closed
+		_, _ = c.Write(sent) // the server may have closed the connection
 		_ = c.(*net.TCPConn).CloseWrite()
-		_, _ = io.Copy(io.Discard, c) // until the server has ended
+		_, _ = io.Copy(io.Discard, c) // until the server closes the connection
 		mu.Lock()
 		defer mu.Unlock()
-		left := requestsIn(sent)
+		remaining := requestsIn(sent)
 		for _, h := range handled {
-			i := slices.IndexFunc(left, func(want string) bool { return want == h || isLeft(want, h) })
-			must.GreaterEq(t, 0, i, must.Sprintf("%q was not sent, or once only", h))
-			left = slices.Delete(left, i, i+1)
+			i := slices.IndexFunc(remaining, func(want string) bool { return want == h || matchesWithoutBody(want, h) })
+			must.GreaterEq(t, 0, i, must.Sprintf("%q was not sent, or was handled more often than sent", h))
+			remaining = slices.Delete(remaining, i, i+1)
 		}
 	})
 }
 
-// isLeft reports whether a handler that leaves the body got this request.
-func isLeft(sent, handled string) bool {
+// matchesWithoutBody reports whether a request that was handled without reading its body is the one
+// sent.
+func matchesWithoutBody(sent, handled string) bool {
 	return len(sent) >= len(handled) && sent[:len(handled)] == handled && bytes.Contains([]byte(handled), []byte("/leave"))
 }
--- a/transport/callers/half_closed_test.go
+++ b/transport/callers/half_closed_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestCallerThatClosesItsSendingSideGetsWhatIsReady(t *testing.T) {
+func TestCallerThatHalfClosesGetsResponsesThatAreReady(t *testing.T) {
 	second := make(chan struct{})
-	s, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+	s, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/1" {
 			<-r.Context().Done()
 			w.WriteHeader(http.StatusBadGateway)
@@ -23,10 +23,10 @@
 	c, br := dial(t, addr)
 	send(t, c, get("/1")+get("/2"))
 	<-second
-	eventually(t, "the second answer is ready", func() bool { return ready(s, 1) })
+	eventually(t, "the second response is ready", func() bool { return responsesReady(s, 1) })
 	must.NoError(t, c.(*net.TCPConn).CloseWrite())
-	resp, _ := answer(t, br)
+	resp, _ := readResponse(t, br)
 	must.Eq(t, http.StatusBadGateway, resp.StatusCode)
-	_, body := answer(t, br)
+	_, body := readResponse(t, br)
 	must.Eq(t, "two", body)
 }
--- a/transport/callers/idle.go
+++ b/transport/callers/idle.go
@@ -8,31 +8,31 @@
 	"github.com/jacinthgate/jacinthgate/transport/sockopt"
 )
 
-// past is a deadline that ends a read at once.
+// past is a deadline that ends a blocked read at once.
 var past = time.Unix(1, 0)
 
-// hangUpIfIdle lets the connection end unless a request is under way. One that is ending
-// already is left alone: its last answer may still be on its way.
-func (c *conn) hangUpIfIdle() {
+// closeIfIdle makes the connection end unless a request is being read or is pending. It leaves
+// a connection alone that is ending already: its last response may not have arrived yet.
+func (c *conn) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending || c.reading || len(c.open) > 0 {
+	if c.readStopped || c.reading || len(c.pending) > 0 {
 		return
 	}
-	c.ending = true
-	_ = c.raw.SetReadDeadline(past) // the read reports a closed one
+	c.readStopped = true
+	_ = c.raw.SetReadDeadline(past) // the read returns the error of a closed connection
 }
 
 const (
-	// stallTime is how long a caller may take nothing of what was sent to it before it is taken
-	// for gone.
-	stallTime = 2 * time.Second
-	// untakenCheck is the least time between two looks at what a caller has taken.
-	untakenCheck = 50 * time.Millisecond
+	// stallTimeout is how long the send queue may stay at one size above 0 before the caller
+	// is considered gone.
+	stallTimeout = 2 * time.Second
+	// unackedCheck is the minimum interval between two checks of the send queue.
+	unackedCheck = 50 * time.Millisecond
 )
 
-// awaitRequest returns when a request begins to arrive. The error is that of the end of the
-// connection.
+// awaitRequest waits until the first byte of a request arrives. It returns an error when the
+// connection ends or has been idle for too long.
 func (c *conn) awaitRequest() error {
 	limits := c.server.cfg.Limits()
 	for {
@@ -41,74 +41,75 @@
 		if err == nil || c.arrived(err) {
 			return nil
 		}
-		if !errors.Is(err, os.ErrDeadlineExceeded) || c.isEnding() || !c.takesOn() {
+		if !errors.Is(err, os.ErrDeadlineExceeded) || c.isReadStopped() || !c.isReceiving() {
 			return err
 		}
 		limits = c.server.cfg.Limits()
-		limits.IdleTimeout = max(limits.IdleTimeout, untakenCheck)
+		limits.IdleTimeout = max(limits.IdleTimeout, unackedCheck)
 	}
 }
 
-// takesOn reports whether the caller is still taking what was sent to it: such a connection isn't
-// idle, and closing it could reset it and lose the rest.
-func (c *conn) takesOn() bool {
-	untaken, _ := sockopt.Unsent(c.raw) // 0 where it isn't known
-	if untaken != c.untaken {
-		c.untaken, c.untakenSince = untaken, time.Now()
+// isReceiving reports whether the caller is still receiving responses, that is, whether the send
+// queue has changed within stallTimeout and isn't empty. Such a connection isn't idle, and closing
+// it could reset it and lose the rest of the response.
+func (c *conn) isReceiving() bool {
+	unacked, _ := sockopt.Unsent(c.raw) // 0 if unknown
+	if unacked != c.unacked {
+		c.unacked, c.unackedSince = unacked, time.Now()
 	}
-	return untaken > 0 && time.Since(c.untakenSince) < stallTime
+	return unacked > 0 && time.Since(c.unackedSince) < stallTimeout
 }
 
-// isEnding reports whether no further request is to be read.
-func (c *conn) isEnding() bool {
+// isReadStopped reports whether no further request is to be read.
+func (c *conn) isReadStopped() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ending
+	return c.readStopped
 }
 
-// arrived reports whether a read that ended at its deadline has left bytes behind. The
-// deadline may have passed before this process got to read them.
+// arrived reports whether unread bytes have arrived on a connection whose read failed with err at
+// its deadline: the deadline may pass before this process is scheduled and reads them.
 func (c *conn) arrived(err error) bool {
-	return errors.Is(err, os.ErrDeadlineExceeded) && !c.hasEnded() && sockopt.Pending(c.raw)
+	return errors.Is(err, os.ErrDeadlineExceeded) && !c.isFinalSent() && sockopt.Pending(c.raw)
 }
 
-// hasEnded reports whether an answer that ends the connection was sent.
-func (c *conn) hasEnded() bool {
+// isFinalSent reports whether the final response of the connection was sent.
+func (c *conn) isFinalSent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ended
+	return c.finalSent
 }
 
-// begin notes that a request arrives, which bounds the time for its head.
-func (c *conn) begin(limits Limits) {
+// beginRequest records that a request has begun to arrive, and sets the deadline for its head.
+func (c *conn) beginRequest(limits Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reading = true
 	var until time.Time
 	switch {
-	case c.ended:
+	case c.finalSent:
 		until = past
 	case limits.HeaderTimeout > 0:
 		until = time.Now().Add(limits.HeaderTimeout)
 	}
-	_ = c.raw.SetReadDeadline(until) // the read reports a closed connection
+	_ = c.raw.SetReadDeadline(until) // the read returns the error of a closed connection
 }
 
-// armIdle sets the time at which an idle connection is closed. With requests
-// under way there is none, and one that arrives has a bound of its own.
+// armIdle sets the deadline at which an idle connection is closed. With pending
+// requests there is none, and a request that is being read has its own deadline.
 func (c *conn) armIdle(limits Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var until time.Time
 	switch {
-	case c.lingers, c.reading && !c.ended:
+	case c.lingering, c.reading && !c.finalSent:
 		return
-	case c.ended:
+	case c.finalSent:
 		until = past
-	case c.ending && len(c.open) == 0:
+	case c.readStopped && len(c.pending) == 0:
 		until = past
-	case len(c.open) == 0 && limits.IdleTimeout > 0:
+	case len(c.pending) == 0 && limits.IdleTimeout > 0:
 		until = time.Now().Add(limits.IdleTimeout)
 	}
-	_ = c.raw.SetReadDeadline(until) // the read reports a closed connection
+	_ = c.raw.SetReadDeadline(until) // the read returns the error of a closed connection
 }
--- a/transport/callers/idle_test.go
+++ b/transport/callers/idle_test.go
@@ -17,8 +17,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// startLimited serves a handler on loopback under limits of its own.
-func startLimited(t *testing.T, limits func() Limits, h http.HandlerFunc) (*Server, string) {
+// startWithLimits serves a handler on loopback with the given limits, and returns the server and its
+// address.
+func startWithLimits(t *testing.T, limits func() Limits, h http.HandlerFunc) (*Server, string) {
 	t.Helper()
 	s := New(Config{
 		Handler: h, Ahead: 4, Limits: limits,
@@ -32,25 +33,26 @@
 }
 
 const (
-	flickerCallers = 6
-	flickerBatches = 300
+	varyingCallers = 6
+	varyingBatches = 300
 )
 
-// flicker is a server whose idle timeout changes with each look at it.
-type flicker struct {
+// varyingServer is a server whose idle timeout differs each time the server reads its limits.
+type varyingServer struct {
 	server *Server
 	addr   string
-	ran    sync.Map // path -> true
-	looks  atomic.Uint64
+	ran    sync.Map      // path -> true
+	calls  atomic.Uint64 // of Limits
 }
 
-// flickering are idle timeouts of which the shortest pass before a thread gets to the next step.
-var flickering = []time.Duration{1, 20 * time.Microsecond, time.Minute, 200 * time.Microsecond, time.Nanosecond, 2 * time.Millisecond}
+// varyingTimeouts are the idle timeouts, in turn. The shortest ones expire before the goroutine that
+// sets them reaches its next step.
+var varyingTimeouts = []time.Duration{1, 20 * time.Microsecond, time.Minute, 200 * time.Microsecond, time.Nanosecond, 2 * time.Millisecond}
 
-func newFlicker(t *testing.T) *flicker {
-	f := new(flicker)
-	f.server, f.addr = startLimited(t, func() Limits {
-		return Limits{HeaderTimeout: time.Minute, IdleTimeout: flickering[f.looks.Add(1)%uint64(len(flickering))]}
+func newVaryingServer(t *testing.T) *varyingServer {
+	f := new(varyingServer)
+	f.server, f.addr = startWithLimits(t, func() Limits {
+		return Limits{HeaderTimeout: time.Minute, IdleTimeout: varyingTimeouts[f.calls.Add(1)%uint64(len(varyingTimeouts))]}
 	}, func(w http.ResponseWriter, r *http.Request) {
 		f.ran.Store(r.URL.Path, true)
 		_, _ = io.WriteString(w, r.URL.Path)
@@ -58,21 +60,21 @@
 	return f
 }
 
-// batch sends several requests in one write and reports whether they were answered. None of
-// those that weren't has run.
-func (f *flicker) batch(t *testing.T, c net.Conn, br *bufio.Reader, name string, n int) bool {
+// batch sends n requests in one write and reports whether they were answered. If they weren't, it
+// checks that none was handled.
+func (f *varyingServer) batch(t *testing.T, c net.Conn, br *bufio.Reader, name string, n int) bool {
 	text := ""
 	for i := range n {
 		text += get(fmt.Sprintf("/%s/%d", name, i))
 	}
-	_, _ = io.WriteString(c, text) // reading reports a closed connection
+	_, _ = io.WriteString(c, text) // the read returns the error of a closed connection
 	for i := range n {
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
-			must.Eq(t, 0, i, must.Sprint("a part of the requests sent together was answered"))
+			must.Eq(t, 0, i, must.Sprint("only some requests of a batch were answered"))
 			for j := range n {
 				_, ran := f.ran.Load(fmt.Sprintf("/%s/%d", name, j))
-				must.False(t, ran, must.Sprint(name, " was run and got no answer"))
+				must.False(t, ran, must.Sprint(name, " was handled and got no response"))
 			}
 			return false
 		}
@@ -83,16 +85,16 @@
 	return true
 }
 
-func TestIdleTimeoutThatFiresWhileARequestIsAdmittedCutsNothing(t *testing.T) {
-	f := newFlicker(t)
+func TestIdleTimeoutDuringAdmissionCutsNoRequest(t *testing.T) {
+	f := newVaryingServer(t)
 	var all sync.WaitGroup
 	var closed, kept atomic.Int32
-	for i := range flickerCallers {
+	for i := range varyingCallers {
 		rng := rand.New(rand.NewPCG(1, uint64(i)))
 		all.Go(func() {
 			var c net.Conn
 			var br *bufio.Reader
-			for n := range flickerBatches {
+			for n := range varyingBatches {
 				if c == nil {
 					c, br = dial(t, f.addr)
 				}
@@ -103,7 +105,7 @@
 					_ = c.Close() // the server has closed it
 					c = nil
 				}
-				time.Sleep(time.Duration(rng.IntN(400)) * time.Microsecond) // idle for about as long as is allowed
+				time.Sleep(time.Duration(rng.IntN(400)) * time.Microsecond) // about as long as the idle timeouts
 			}
 		})
 	}
@@ -116,11 +118,11 @@
 	t.Logf("%d batches answered, %d found their connection closed", kept.Load(), closed.Load())
 }
 
-func TestCallerThatClosesItsSendingSideGetsAnAnswerForEachRequest(t *testing.T) {
+func TestCallerThatHalfClosesGetsAResponseToEachRequest(t *testing.T) {
 	for name, n := range map[string]int{"all are worked on": 4, "some wait for their turn": 7} {
 		t.Run(name, func(t *testing.T) {
 			begun, release := make(chan struct{}, n), make(chan struct{})
-			_, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+			_, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 				begun <- struct{}{}
 				select {
 				case <-release:
@@ -140,7 +142,7 @@
 				close(release)
 			}
 			for i := range n {
-				resp, body := answer(t, br)
+				resp, body := readResponse(t, br)
 				must.Eq(t, fmt.Sprintf("/%d", i), body)
 				must.False(t, resp.Close)
 			}
--- a/transport/callers/left_test.go
+++ b/transport/callers/left_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestCallerThatLeavesCancelsItsRequestsBeforeOneThatWaits(t *testing.T) {
+func TestCallerThatDisconnectsCancelsItsRequestsAheadOfAQueuedOne(t *testing.T) {
 	post := "POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"
 	for name, behind := range map[string]string{
 		"a request that may not run again": post,
@@ -16,7 +16,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			begun, gone := make(chan struct{}, 8), make(chan struct{}, 8)
-			_, addr := start(t, func(_ http.ResponseWriter, r *http.Request) {
+			_, addr := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
 				begun <- struct{}{}
 				<-r.Context().Done()
 				gone <- struct{}{}
@@ -25,7 +25,7 @@
 			send(t, c, get("/1")+behind)
 			<-begun
 			must.NoError(t, c.Close())
-			eventually(t, "the request ends with its caller", func() bool { return len(gone) > 0 })
+			eventually(t, "the request is cancelled when its caller disconnects", func() bool { return len(gone) > 0 })
 		})
 	}
 }
--- a/transport/callers/limits_test.go
+++ b/transport/callers/limits_test.go
@@ -20,13 +20,13 @@
 	"github.com/shoenig/test/must"
 )
 
-// versions are limits that change while connections are in use.
+// versions is the history of limits that change while connections are in use.
 type versions struct {
 	mu  sync.Mutex
 	all []version
 }
 
-// version is one set of limits and when it came into force.
+// version is a set of limits and the time at which it came into force.
 type version struct {
 	at     time.Time
 	limits Limits
@@ -44,7 +44,7 @@
 	return v.all[len(v.all)-1].limits
 }
 
-// shortestIdle returns the shortest idle timeout that was in force in a span of time.
+// shortestIdle returns the shortest idle timeout that was in force at any time between from and to.
 func (v *versions) shortestIdle(from, to time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -61,15 +61,15 @@
 	return shortest
 }
 
-// Bounds of what a series of versions does.
+// Size of a series.
 const (
 	seriesSeeds       = 60
 	seriesConnections = 5
 	seriesBatches     = 14
-	mostSentAhead     = 7 // more than the server works on at one time
+	maxPipelined      = 7 // more than the server handles concurrently
 )
 
-// series is a server whose limits change at random, and its callers.
+// series is a simulation of a server whose limits change at random, and of its callers.
 type series struct {
 	t         *testing.T
 	seed      uint64
@@ -77,8 +77,8 @@
 	versions  *versions
 	ran       sync.Map // path -> true
 	cancelled atomic.Int32
-	// idleEnds are connections that were closed while they were idle, openVersions the versions
-	// that came into force while requests were open.
+	// idleEnds is the number of connections that were closed while idle, openVersions the number of
+	// versions that came into force while a batch was in flight, and open the number of those batches.
 	idleEnds, openVersions atomic.Int32
 	open                   atomic.Int32
 }
@@ -93,12 +93,13 @@
 	return s
 }
 
-// serve takes the time that the path tells and answers in one of three ways.
+// serve handles a request for as long as its path sets, and sends the response in the form that the
+// path sets: short, flushed, or with Content-Length.
 func (s *series) serve(w http.ResponseWriter, r *http.Request) {
 	s.ran.Store(r.URL.Path, true)
 	parts := strings.Split(r.URL.Path, "/") // "", name, form, milliseconds
-	millis, _ := strconv.Atoi(parts[3])     // paths are made by ask
-	body, _ := io.ReadAll(r.Body)           // a part of it shows in the answer
+	millis, _ := strconv.Atoi(parts[3])     // paths are made by newRequest
+	body, _ := io.ReadAll(r.Body)           // a truncated body shows in the response
 	select {
 	case <-time.After(time.Duration(millis) * time.Millisecond):
 	case <-r.Context().Done():
@@ -119,19 +120,20 @@
 	}
 }
 
-// request is one that a caller sends, with the answer that it must get.
+// request is a request that a caller sends, with the response body that it expects.
 type request struct{ path, text, want string }
 
-// posted is a request's body.
-var posted = strings.Repeat("-body-", 10)
+// postBody is the body of POST requests.
+var postBody = strings.Repeat("-body-", 10)
 
-func ask(rng *rand.Rand, name string) request {
+// newRequest returns a random request with a unique name.
+func newRequest(rng *rand.Rand, name string) request {
 	form := rng.IntN(3)
 	path := fmt.Sprintf("/%s/%d/%d", name, form, rng.IntN(600))
 	r := request{path: path, text: get(path), want: path}
 	if rng.IntN(5) == 0 {
-		r.text = fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", path, len(posted), posted)
-		r.want = path + posted
+		r.text = fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", path, len(postBody), postBody)
+		r.want = path + postBody
 	}
 	if form == 2 {
 		r.want = strings.Repeat(r.want, 1000)
@@ -139,8 +141,8 @@
 	return r
 }
 
-// call opens a connection and sends batches until the connection is closed or all are sent.
-// It returns the number of batches sent.
+// call opens a connection and sends batches of requests until the connection is closed or all are
+// sent. It returns the number of batches sent.
 func (s *series) call(rng *rand.Rand, name string, batches int) int {
 	c, raw := net.Pipe()
 	s.server.open(raw)
@@ -163,29 +165,30 @@
 // pause leaves the connection idle for a while and reports whether it was closed.
 func (s *series) pause(rng *rand.Rand, c net.Conn, br *bufio.Reader) bool {
 	until := time.Now().Add(time.Duration(rng.Int64N(int64(1500 * time.Millisecond))))
-	_ = c.SetReadDeadline(until) // fails where the connection was closed, as reading does
+	_ = c.SetReadDeadline(until) // fails if the connection was closed, as the read does
 	_, err := br.Peek(1)
-	must.Error(s.t, err, must.Sprint("bytes without a request"))
-	_ = c.SetReadDeadline(time.Time{}) // likewise
+	must.Error(s.t, err, must.Sprint("the server sent bytes without a request"))
+	_ = c.SetReadDeadline(time.Time{}) // fails if the connection was closed, as the read does
 	return err == io.EOF
 }
 
-// exchange sends several requests ahead, with a gap within one of them, and reads their answers.
+// exchange sends a batch of pipelined requests, with a pause within one of them, and checks their
+// responses.
 func (s *series) exchange(rng *rand.Rand, c net.Conn, br *bufio.Reader, name string) {
 	var all []request
 	text := ""
-	for i := range 1 + rng.IntN(mostSentAhead) {
-		all = append(all, ask(rng, fmt.Sprintf("%s-%d", name, i)))
+	for i := range 1 + rng.IntN(maxPipelined) {
+		all = append(all, newRequest(rng, fmt.Sprintf("%s-%d", name, i)))
 		text += all[i].text
 	}
-	cut := within(rng, all)
-	gap := time.Duration(rng.Int64N(int64(longestGap(text[:cut]))))
+	split := splitPoint(rng, all)
+	gap := time.Duration(rng.Int64N(int64(longestGap(text[:split]))))
 	s.open.Add(1)
 	defer s.open.Add(-1)
-	go func() { // what is lost shows in the answers
-		_, _ = io.WriteString(c, text[:cut])
+	go func() { // lost bytes show in the responses
+		_, _ = io.WriteString(c, text[:split])
 		time.Sleep(gap)
-		_, _ = io.WriteString(c, text[cut:])
+		_, _ = io.WriteString(c, text[split:])
 	}()
 	for _, r := range all {
 		resp, err := http.ReadResponse(br, nil)
@@ -198,27 +201,27 @@
 	}
 }
 
-// within returns a place inside of a request.
-func within(rng *rand.Rand, all []request) int {
+// splitPoint returns a random offset inside a request of a batch, in bytes from the batch's start.
+func splitPoint(rng *rand.Rand, all []request) int {
 	n := rng.IntN(len(all))
-	cut := 1 + rng.IntN(len(all[n].text)-1)
+	split := 1 + rng.IntN(len(all[n].text)-1)
 	for _, before := range all[:n] {
-		cut += len(before.text)
+		split += len(before.text)
 	}
-	return cut
+	return split
 }
 
-// longestGap returns how long a caller may wait after a part of its requests: no time is set for
-// a body, and a head must arrive within the shortest header timeout of the series.
+// longestGap returns the longest pause after a part of a batch that must not cause an error: a body
+// has no timeout, and a head must arrive within the shortest header timeout of the series.
 func longestGap(sent string) time.Duration {
 	parts := strings.Split(sent, "\r\n\r\n")
-	if body := parts[len(parts)-1]; body != "" && strings.HasPrefix(posted, body) {
+	if body := parts[len(parts)-1]; body != "" && strings.HasPrefix(postBody, body) {
 		return 5 * time.Second
 	}
 	return 900 * time.Millisecond
 }
 
-// change puts versions in force until stop is closed.
+// change puts random versions in force, at random intervals, until stop is closed.
 func (s *series) change(rng *rand.Rand, stop <-chan struct{}) {
 	for {
 		select {
@@ -254,7 +257,7 @@
 	close(stop)
 	changes.Wait()
 	s.ran.Range(func(path, _ any) bool {
-		s.t.Errorf("seed %d: %v was read and not answered", s.seed, path)
+		s.t.Errorf("seed %d: %v was handled and not answered", s.seed, path)
 		return true
 	})
 	must.Eq(s.t, 0, s.cancelled.Load(), must.Sprint("seed ", s.seed))
@@ -264,7 +267,7 @@
 	}
 }
 
-func TestLimitsThatChangeCutNoRequestAndNoConnectionTooSoon(t *testing.T) {
+func TestChangingLimitsCutNoRequestAndCloseNoConnectionEarly(t *testing.T) {
 	idleEnds, openVersions := 0, 0
 	for seed := range uint64(seriesSeeds) {
 		synctest.Test(t, func(t *testing.T) {
@@ -274,7 +277,7 @@
 			openVersions += int(s.openVersions.Load())
 		})
 	}
-	must.Greater(t, seriesSeeds, idleEnds, must.Sprint("connections that were closed while idle"))
-	must.Greater(t, seriesSeeds, openVersions, must.Sprint("versions beside open requests"))
-	t.Logf("%d connections closed while idle, %d versions beside open requests", idleEnds, openVersions)
+	must.Greater(t, seriesSeeds, idleEnds, must.Sprint("too few connections were closed while idle"))
+	must.Greater(t, seriesSeeds, openVersions, must.Sprint("too few versions came into force during requests"))
+	t.Logf("%d connections closed while idle, %d versions during requests", idleEnds, openVersions)
 }
--- a/transport/callers/linger_test.go
+++ b/transport/callers/linger_test.go
@@ -11,27 +11,29 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a reset behind the last answer where its goroutine ends after the connection's.
-func TestEndOfAnAnswerDoesNotEndTheLingering(t *testing.T) {
-	s, _ := startLimited(t, func() Limits { return Limits{IdleTimeout: time.Minute} },
+// Guards against a reset after the final response: the goroutine that handled its request may end
+// while the connection lingers already, and must not change the deadline.
+func TestEndOfAResponseDoesNotEndLingering(t *testing.T) {
+	s, _ := startWithLimits(t, func() Limits { return Limits{IdleTimeout: time.Minute} },
 		func(http.ResponseWriter, *http.Request) {})
-	c, caller, br := accepted(t, s)
-	c.ended, c.ending = true, true // the last answer was sent
+	c, caller, br := acceptUnserved(t, s)
+	c.finalSent, c.readStopped = true, true // the final response was sent
 	go c.finish()
 	_, err := br.ReadByte()
 	must.ErrorIs(t, err, io.EOF)
-	time.Sleep(20 * time.Millisecond) // until it lingers
+	time.Sleep(20 * time.Millisecond) // until the connection lingers
 	c.armIdle(s.cfg.Limits())
 	for range 3 {
-		time.Sleep(10 * time.Millisecond) // one that was closed resets what comes
+		time.Sleep(10 * time.Millisecond) // on a closed connection, the sends would be reset
 		send(t, caller, get("/behind"))
 	}
 }
 
-// Guards against a log that blames callers which have left for what is still on its way to them.
-func TestBytesOnTheirWayToACallerThatHasClosedAreNotLogged(t *testing.T) {
-	out := new(lines)
-	s, addr := startLimited(t, func() Limits { return Limits{IdleTimeout: time.Minute} }, answerSlowly)
+// Guards against log lines about unacknowledged bytes when the caller has closed its side: the bytes
+// are still in transit.
+func TestBytesInTransitToAHalfClosedCallerAreNotLogged(t *testing.T) {
+	out := new(logBuffer)
+	s, addr := startWithLimits(t, func() Limits { return Limits{IdleTimeout: time.Minute} }, serveLargeResponse)
 	s.cfg.Logger = log.NewLogfmtLogger(log.NewSyncWriter(out))
 	s.Leave()
 	c, br := dial(t, addr)
@@ -39,12 +41,12 @@
 	_, err := br.Peek(1)
 	must.NoError(t, err)
 	must.NoError(t, c.(*net.TCPConn).CloseWrite())
-	eventually(t, "the connection ends", func() bool { return open(s) == 0 })
+	eventually(t, "the connection is closed", func() bool { return connectionCount(s) == 0 })
 	must.False(t, out.contains("event=bytes_unsent"))
 }
 
-// open returns the number of a server's connections.
-func open(s *Server) int {
+// connectionCount returns the number of a server's open connections.
+func connectionCount(s *Server) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
--- a/transport/callers/read.go
+++ b/transport/callers/read.go
@@ -8,12 +8,12 @@
 	"strings"
 )
 
-// readError reports a request that could not be read.
+// readError is the error for a request that could not be read.
 type readError struct {
 	err error
-	// between is set when the connection ended between two requests.
-	between bool
-	// tooLarge is set when the head exceeds its limit.
+	// betweenRequests is set if the connection ended before a byte of the request arrived.
+	betweenRequests bool
+	// tooLarge is set if the request's head exceeds its limit.
 	tooLarge bool
 }
 
@@ -23,7 +23,7 @@
 // Unwrap returns the cause.
 func (e *readError) Unwrap() error { return e.err }
 
-// status returns what the caller is answered.
+// status returns the HTTP status of the response to the request.
 func (e *readError) status() int {
 	var timeout net.Error
 	switch {
@@ -36,27 +36,31 @@
 	}
 }
 
-// requestError reports a request that breaks HTTP/1.1.
+// requestError is the error for a request that violates HTTP/1.1.
 type requestError struct {
-	// What is wrong.
+	// What names the invalid part.
 	What string
 }
 
 // Error implements error.
 func (e *requestError) Error() string { return "malformed request: " + e.What }
 
-// headLimit bounds the bytes read while a head is read.
+// headLimit is the reader of a connection. While a request's head is read, it bounds the
+// number of bytes.
 type headLimit struct {
-	conn     net.Conn
-	left     int
-	limited  bool
-	exceeded bool
+	conn      net.Conn
+	remaining int // until the limit, in bytes
+	limited   bool
+	exceeded  bool
 }
 
-func (h *headLimit) allow(n int) {
-	h.left, h.limited, h.exceeded = n+connBuffer, n > 0, false
+// limit starts a head of at most n bytes; 0 sets no limit. Since the buffered reader reads ahead of
+// the head, connBuffer bytes more are allowed.
+func (h *headLimit) limit(n int) {
+	h.remaining, h.limited, h.exceeded = n+connBuffer, n > 0, false
 }
 
+// unlimited lifts the limit at the end of a head.
 func (h *headLimit) unlimited() { h.limited = false }
 
 // Read implements io.Reader.
@@ -64,17 +68,17 @@
 	if !h.limited {
 		return h.conn.Read(p)
 	}
-	if h.left <= 0 {
+	if h.remaining <= 0 {
 		h.exceeded = true
 		return 0, io.ErrUnexpectedEOF
 	}
-	n, err := h.conn.Read(p[:min(len(p), h.left)])
-	h.left -= n
+	n, err := h.conn.Read(p[:min(len(p), h.remaining)])
+	h.remaining -= n
 	return n, err
 }
 
-// closes reports whether a Connection header asks for the end.
-func closes(h http.Header) bool {
+// hasConnectionClose reports whether the Connection headers contain the token "close".
+func hasConnectionClose(h http.Header) bool {
 	for _, line := range h["Connection"] {
 		for token := range strings.SplitSeq(line, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), "close") {
--- a/transport/callers/reader_test.go
+++ b/transport/callers/reader_test.go
@@ -8,11 +8,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// The handler's reader may outlive it, as one that sends the body on does.
-func TestNoRequestIsReadWhileABodyStillIs(t *testing.T) {
+// A goroutine that reads the body may outlive the handler, as when the body is forwarded. Guards
+// against reading the next request at the same time.
+func TestNextRequestIsNotReadWhileABodyIsBeingRead(t *testing.T) {
 	for range 100 {
 		reading, ended := make(chan struct{}), make(chan struct{})
-		_, addr := start(t, func(_ http.ResponseWriter, r *http.Request) {
+		_, addr := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
 			go func() {
 				defer close(ended)
 				_, _ = r.Body.Read(make([]byte, 1))
@@ -24,7 +25,7 @@
 		})
 		c, br := dial(t, addr)
 		send(t, c, "POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\na")
-		resp, _ := answer(t, br)
+		resp, _ := readResponse(t, br)
 		must.True(t, resp.Close)
 		must.NoError(t, c.Close())
 		<-ended
--- a/transport/callers/replace_test.go
+++ b/transport/callers/replace_test.go
@@ -11,8 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestReplacedAnswerBearsNothingOfTheOneThatFailed(t *testing.T) {
-	_, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+func TestReplacedResponseHasNothingOfTheFailedOne(t *testing.T) {
+	_, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Stamp", "of the backend server")
 		w.Header().Set("Content-Encoding", "gzip")
 		w.Header().Set("Transfer-Encoding", "chunked")
@@ -31,19 +31,19 @@
 	}
 }
 
-func TestReplacedAnswerEndsItsConnectionWhereTheBodyWasNotAskedFor(t *testing.T) {
-	_, addr := start(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+func TestReplacedResponseClosesTheConnectionIfContinueWasNotSent(t *testing.T) {
+	_, addr := startServer(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	c, br := dial(t, addr)
 	send(t, c, "POST /1 HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
-	resp, _ := answer(t, br)
+	resp, _ := readResponse(t, br)
 	must.Eq(t, http.StatusBadGateway, resp.StatusCode)
 	must.True(t, resp.Close)
 	_, err := br.ReadByte()
 	must.ErrorIs(t, err, io.EOF)
 }
 
-func TestConnectionGoesOnAfterAReplacedAnswerWhoseRequestWasRead(t *testing.T) {
-	_, addr := start(t, func(_ http.ResponseWriter, r *http.Request) {
+func TestConnectionStaysOpenAfterAReplacedResponseIfTheBodyWasRead(t *testing.T) {
+	_, addr := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			_, _ = io.Copy(io.Discard, r.Body)
 			panic(http.ErrAbortHandler)
@@ -51,16 +51,16 @@
 	})
 	c, br := dial(t, addr)
 	send(t, c, "POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"+get("/2"))
-	resp, _ := answer(t, br)
+	resp, _ := readResponse(t, br)
 	must.Eq(t, http.StatusBadGateway, resp.StatusCode)
 	must.False(t, resp.Close)
-	resp, _ = answer(t, br)
+	resp, _ = readResponse(t, br)
 	must.Eq(t, http.StatusOK, resp.StatusCode)
 }
 
-func TestAnswerBehindOneThatEndsTheConnectionIsNotReplaced(t *testing.T) {
+func TestResponseBehindTheFinalOneIsNotReplaced(t *testing.T) {
 	ended := make(chan struct{})
-	_, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+	_, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/1" {
 			<-ended
 			w.Header().Set("Connection", "close")
@@ -71,16 +71,16 @@
 	})
 	c, br := dial(t, addr)
 	send(t, c, get("/1")+get("/2"))
-	resp, _ := answer(t, br)
+	resp, _ := readResponse(t, br)
 	must.Eq(t, http.StatusOK, resp.StatusCode)
 	must.True(t, resp.Close)
 	_, err := br.ReadByte()
 	must.ErrorIs(t, err, io.EOF)
 }
 
-// Each sort of answer meets each other one on a connection, before its turn and in it.
-func TestAnswersOfAllSortsKeepTheirOrderAndTheirBytes(t *testing.T) {
-	_, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+// Pipelines every kind of response with every other one, written before its turn and at its turn.
+func TestResponsesOfAllKindsKeepOrderAndContent(t *testing.T) {
+	_, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		flush := func() { must.NoError(t, http.NewResponseController(w).Flush()) }
 		body := strings.Repeat(r.URL.Path, 500)
 		switch r.URL.Path[1:2] {
@@ -93,27 +93,27 @@
 				_, _ = io.WriteString(w, part)
 				flush()
 			}
-		case "l": // is longer than is kept
+		case "l": // is longer than maxBuffered
 			flush()
-			_, _ = io.WriteString(w, strings.Repeat("x", maxAhead+1))
+			_, _ = io.WriteString(w, strings.Repeat("x", maxBuffered+1))
 			flush()
 		default:
 			_, _ = io.WriteString(w, body)
 		}
 	})
-	const sorts, rounds = "afln", 40
+	const kinds, rounds = "afln", 40
 	for round := range rounds {
 		c, br := dial(t, addr)
 		var all strings.Builder
 		var paths []string
 		for i := range 12 {
-			p := "/" + string(sorts[(round*7+i*(round%4+1))%len(sorts)]) + strconv.Itoa(i)
+			p := "/" + string(kinds[(round*7+i*(round%4+1))%len(kinds)]) + strconv.Itoa(i)
 			paths = append(paths, p)
 			all.WriteString(get(p))
 		}
 		send(t, c, all.String())
 		for _, p := range paths {
-			resp, body := answer(t, br)
+			resp, body := readResponse(t, br)
 			switch p[1:2] {
 			case "a":
 				must.Eq(t, http.StatusBadGateway, resp.StatusCode)
@@ -121,7 +121,7 @@
 			case "f":
 				must.Eq(t, strings.Repeat(p[1:], 500), body)
 			case "l":
-				must.Eq(t, maxAhead+1, len(body))
+				must.Eq(t, maxBuffered+1, len(body))
 			default:
 				must.Eq(t, strings.Repeat(p, 500), body)
 			}
@@ -130,9 +130,9 @@
 	}
 }
 
-func TestAnswerThatBreaksOffAtTheEndOfAShutdownIsReplaced(t *testing.T) {
+func TestResponseAbortedAtTheEndOfAShutdownIsReplaced(t *testing.T) {
 	begun := make(chan struct{})
-	s, addr := start(t, func(_ http.ResponseWriter, r *http.Request) {
+	s, addr := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(begun)
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
@@ -141,9 +141,9 @@
 	send(t, c, get("/1"))
 	<-begun
 	ctx, cancel := context.WithCancel(context.Background())
-	cancel() // the grace time is over at once
+	cancel() // the graceful part of the shutdown ends at once
 	must.NoError(t, s.Shutdown(ctx))
-	resp, _ := answer(t, br)
+	resp, _ := readResponse(t, br)
 	must.Eq(t, http.StatusBadGateway, resp.StatusCode)
 	must.True(t, resp.Close)
 }
--- a/transport/callers/response.go
+++ b/transport/callers/response.go
@@ -12,35 +12,37 @@
 	"time"
 )
 
-// maxAhead bounds what is kept of a response whose turn has not come, in bytes.
-const maxAhead = 64 << 10
+// maxBuffered bounds how much of a response is buffered before its turn, in bytes.
+const maxBuffered = 64 << 10
 
-// response is the http.ResponseWriter of one request. What is written before
-// its turn is kept, up to maxAhead.
+// response is the http.ResponseWriter of one request. It buffers up to
+// maxBuffered bytes until its turn comes, that is, until the responses to the
+// earlier requests of the connection are complete; then writes block.
 type response struct {
 	x      *exchange
 	header http.Header // belongs to the handler
 
-	mu      sync.Mutex
-	status  int
-	kept    []byte
-	length  int64 // by Content-Length; -1 when chunked
-	written int64
-	begun   atomic.Bool // the head was written
-	chunks  io.WriteCloser
-	// flushing says that the response is flushed once its turn comes, ended that nothing more
-	// is written.
-	flushing, ended bool
-	// frozen are the headers to send where the handler may still change its own.
+	mu       sync.Mutex
+	status   int
+	buffered []byte
+	length   int64 // from Content-Length; -1 if unknown
+	written  int64
+	begun    atomic.Bool // the head was written
+	chunks   io.WriteCloser
+	// flushPending is set if the response is to be flushed when its turn comes, finished if the
+	// handler has returned.
+	flushPending, finished bool
+	// frozen are the headers to send if they were fixed before the head was written, since the
+	// handler may still change header; otherwise nil.
 	frozen http.Header
-	// expired ends the wait for the response's turn; nil doesn't.
+	// expired is closed when the response may no longer begin; nil means no limit.
 	expired <-chan struct{}
 }
 
 // Header implements http.ResponseWriter.
 func (w *response) Header() http.Header { return w.header }
 
-// headers returns the headers to send. w.mu is held.
+// headers returns the headers to send. The caller holds w.mu.
 func (w *response) headers() http.Header {
 	if w.frozen != nil {
 		return w.frozen
@@ -48,7 +50,7 @@
 	return w.header
 }
 
-// WriteHeader implements http.ResponseWriter. Interim responses are left out.
+// WriteHeader implements http.ResponseWriter. It ignores interim (1xx) statuses.
 func (w *response) WriteHeader(status int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,9 +59,10 @@
 	}
 }
 
-// proceed sends "100 Continue".
+// proceed sends "100 Continue" when the response's turn comes, unless the response has
+// begun.
 func (w *response) proceed() {
-	<-w.x.before
+	<-w.x.prevDone
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.begun.Load() {
@@ -67,7 +70,7 @@
 	}
 	bw := w.x.conn.bw
 	_, _ = io.WriteString(bw, "HTTP/1.1 100 Continue\r\n\r\n")
-	_ = bw.Flush() // reading the body reports a closed connection
+	_ = bw.Flush() // reading the body returns the error of a closed connection
 }
 
 // bodyless reports whether the response has no body.
@@ -85,8 +88,8 @@
 	if w.bodyless() {
 		return 0, http.ErrBodyNotAllowed
 	}
-	if !w.begun.Load() && w.mayKeep(len(w.kept)+len(p)) {
-		w.kept = append(w.kept, p...)
+	if !w.begun.Load() && w.mayBuffer(len(w.buffered)+len(p)) {
+		w.buffered = append(w.buffered, p...)
 		return len(p), nil
 	}
 	if err := w.begin(false); err != nil {
@@ -95,18 +98,19 @@
 	return w.send(p)
 }
 
-// mayKeep reports whether so many bytes are kept: while it is not the response's
-// turn, and of a short one whose length isn't known yet.
-func (w *response) mayKeep(n int) bool {
+// mayBuffer reports whether a body of n bytes so far stays in the buffer: before the
+// response's turn up to maxBuffered, and without a Content-Length up to connBuffer, so
+// that the length of a short response can be set when it is complete.
+func (w *response) mayBuffer(n int) bool {
 	if w.headers()["Content-Length"] == nil && n <= connBuffer {
 		return true
 	}
-	return n <= maxAhead && !w.myTurn()
+	return n <= maxBuffered && !w.isNext()
 }
 
-// begin waits for the response's turn and writes its head. whole says that
-// kept is all of the body. w.mu is held.
-func (w *response) begin(whole bool) error {
+// begin waits for the response's turn and writes its head and the buffered part of
+// its body. bodyComplete is true if that part is the whole body. The caller holds w.mu.
+func (w *response) begin(bodyComplete bool) error {
 	if w.begun.Load() {
 		return nil
 	}
@@ -117,7 +121,7 @@
 		return io.ErrClosedPipe
 	}
 	w.begun.Store(true)
-	w.frame(whole)
+	w.frame(bodyComplete)
 	bw := w.x.conn.bw
 	_, _ = io.WriteString(bw, "HTTP/1.1 "+statusLine(w.status)+"\r\n")
 	if err := w.headers().WriteSubset(bw, nil); err != nil {
@@ -126,26 +130,27 @@
 	if _, err := io.WriteString(bw, "\r\n"); err != nil {
 		return err
 	}
-	kept := w.kept
-	w.kept = nil
-	if len(kept) == 0 {
+	buffered := w.buffered
+	w.buffered = nil
+	if len(buffered) == 0 {
 		return nil
 	}
-	_, err := w.send(kept)
+	_, err := w.send(buffered)
 	return err
 }
 
-// frame sets the headers that say where the body ends.
-func (w *response) frame(whole bool) {
+// frame sets the headers that delimit the body (Content-Length, Transfer-Encoding)
+// and Connection. bodyComplete is true if the whole body is buffered.
+func (w *response) frame(bodyComplete bool) {
 	h := w.headers()
 	delete(h, "Transfer-Encoding")
 	c := w.x.conn
-	if closes(h) || w.x.last.Load() || whole && w.x.leavesBody() {
-		c.close(w.x)
-	} else if c.server.leaving.Load() {
-		c.closeIfNewest(w.x)
+	if hasConnectionClose(h) || w.x.final.Load() || bodyComplete && w.x.bodyExceedsDiscard() {
+		c.closeAfter(w.x)
+	} else if c.server.keepAliveOff.Load() {
+		c.closeAfterIfNewest(w.x)
 	}
-	if w.x.last.Load() {
+	if w.x.final.Load() {
 		h["Connection"] = []string{"close"}
 	}
 	w.length = -1
@@ -156,18 +161,18 @@
 	delete(h, "Content-Length")
 	switch {
 	case w.bodyless():
-	case whole:
-		w.length = int64(len(w.kept))
-		h["Content-Length"] = []string{strconv.Itoa(len(w.kept))}
+	case bodyComplete:
+		w.length = int64(len(w.buffered))
+		h["Content-Length"] = []string{strconv.Itoa(len(w.buffered))}
 	case w.x.req.ProtoAtLeast(1, 1):
 		h["Transfer-Encoding"] = []string{"chunked"}
 		w.chunks = httputil.NewChunkedWriter(w.x.conn.bw)
 	default:
-		c.close(w.x) // the end of the connection is the end of the body
+		c.closeAfter(w.x) // HTTP/1.0: closing the connection ends the body
 	}
 }
 
-// send writes a part of the body.
+// send writes a part of the body to the connection's buffer.
 func (w *response) send(p []byte) (int, error) {
 	w.written += int64(len(p))
 	if w.length >= 0 && w.written > w.length {
@@ -179,28 +184,28 @@
 	return w.x.conn.bw.Write(p)
 }
 
-// errWrongLength reports a response with another length than it has announced, nothing of which
-// was sent.
-var errWrongLength = errors.New("response of another length than announced")
+// errWrongLength is returned for a buffered response whose length differs from its Content-Length.
+var errWrongLength = errors.New("response length differs from Content-Length")
 
-// wrongLength reports whether what is kept isn't as long as was announced.
+// wrongLength reports whether the buffered body's length differs from Content-Length.
 func (w *response) wrongLength() bool {
 	n, err := strconv.Atoi(w.headers().Get("Content-Length"))
-	return err == nil && n >= 0 && n != len(w.kept)
+	return err == nil && n >= 0 && n != len(w.buffered)
 }
 
-// complete ends the response.
+// complete sends the rest of the response after the handler has returned. It returns an error
+// if the response isn't complete.
 func (w *response) complete() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ended, w.expired = true, nil // a whole response is sent, however late its turn comes
+	w.finished, w.expired = true, nil // a complete response is sent, however late its turn comes
 	if w.status == 0 {
 		w.status = http.StatusOK
 	}
 	if !w.begun.Load() && !w.bodyless() && w.wrongLength() {
 		return errWrongLength
 	}
-	if err := w.begin(!w.flushing); err != nil {
+	if err := w.begin(!w.flushPending); err != nil {
 		return err
 	}
 	if w.length >= 0 && w.written != w.length && !w.bodyless() {
@@ -217,26 +222,26 @@
 	return w.x.conn.bw.Flush()
 }
 
-// callerGone reports whether writing the response has failed since its caller had closed the
+// callerClosed reports whether writing the response has failed because the caller had closed the
 // connection.
-func (w *response) callerGone() bool {
+func (w *response) callerClosed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.begun.Load() {
 		return false // nothing was written
 	}
-	_, err := w.x.conn.bw.Write(nil) // the first error of the writer
+	_, err := w.x.conn.bw.Write(nil) // returns the writer's first error
 	return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// EnableFullDuplex implements what http.ResponseController looks for: responses
-// never wait for the request's body here.
+// EnableFullDuplex implements the method that http.ResponseController calls. It does
+// nothing: this server never delays a response until the request's body was read.
 func (w *response) EnableFullDuplex() error { return nil }
 
-// SetReadDeadline implements what http.ResponseController looks for.
+// SetReadDeadline implements the method that http.ResponseController calls.
 func (w *response) SetReadDeadline(t time.Time) error { return w.x.conn.raw.SetReadDeadline(t) }
 
-// statusLine returns the status with its text.
+// statusLine returns a status code with its reason phrase.
 func statusLine(status int) string {
 	text := http.StatusText(status)
 	if text == "" {
--- a/transport/callers/server.go
+++ b/transport/callers/server.go
@@ -1,11 +1,17 @@
-// Package callers serves HTTP/1.1 to the callers on a host. net/http's server
-// serves the requests of one connection one after the other; this one works on
-// requests that a caller has sent ahead at the same time and answers them in
-// order, takes its limits from the configuration in force, and notices a caller
-// that has left also while requests wait behind the present one. A handler that
-// fails before a part of its response was sent ends no connection: the response
-// is replaced by 502, or by 500 after a panic. Requests and their bodies are
-// read by net/http.
+// Package callers is an HTTP/1.1 server for the callers on a host. It differs
+// from net/http's server, which handles the requests of one connection one by
+// one, in four ways:
+//   - Pipelined requests are handled concurrently. Their responses are sent in
+//     the order of the requests; a response waits for its turn until those before
+//     it are complete.
+//   - Its limits come from the configuration in force and may change while
+//     connections are open.
+//   - It detects that a caller has closed its connection even while further
+//     pipelined requests are queued behind the current one.
+//   - A handler that fails before any part of its response was sent doesn't close
+//     the connection: the response is replaced by 502, or by 500 after a panic.
+//
+// Requests and their bodies are parsed by net/http.
 package callers
 
 import (
@@ -21,39 +27,40 @@
 	"github.com/go-kit/log"
 )
 
-// Limits bound what a caller may send.
+// Limits bound what a caller may send and how long it may take.
 type Limits struct {
-	// HeaderBytes bounds a request's head, in bytes.
+	// HeaderBytes bounds the request line and headers of a request, in bytes.
 	HeaderBytes int
-	// HeaderTimeout bounds the time in which a head arrives.
+	// HeaderTimeout bounds the time from a request's first byte to the end of
+	// its headers.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection may stay idle.
+	// IdleTimeout is how long a connection may stay open without a request.
 	IdleTimeout time.Duration
 }
 
 // Config configures a Server.
 type Config struct {
-	// Handler answers requests. It runs on several goroutines for one
-	// connection.
+	// Handler handles requests. It is called concurrently, also for requests of
+	// one connection.
 	Handler http.Handler
 	// Limits returns the limits in force. It must not block.
 	Limits func() Limits
-	// Ahead is the number of requests of one connection that are worked on at
-	// the same time.
+	// Ahead is the number of pipelined requests of one connection that are
+	// handled concurrently.
 	Ahead int
-	// RequestID returns the identifier that the caller gave its request.
+	// RequestID returns the identifier that the caller assigned to its request.
 	RequestID func(headers map[string][]string) string
-	// Metrics is the set that metrics are registered in.
+	// Metrics is the set in which the server registers its metrics.
 	Metrics *metrics.Set
-	// Logger gets a line for each request that can't be read or whose answer is
-	// cut or replaced, and for each handler that panics.
+	// Logger logs each request that can't be read, each response that is
+	// truncated or replaced, and each handler that panics.
 	Logger log.Logger
 }
 
-// Server serves callers' connections.
+// Server serves HTTP/1.1 on callers' connections.
 type Server struct {
-	cfg     Config
-	leaving atomic.Bool
+	cfg          Config
+	keepAliveOff atomic.Bool // each connection closes after its next response
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -64,11 +71,11 @@
 // New returns a server.
 func New(cfg Config) *Server { return &Server{cfg: cfg, conns: make(map[*conn]struct{})} }
 
-// acceptPause is the pause after an error of the listener, such as a lack of
-// file descriptors.
-const acceptPause = 5 * time.Millisecond
+// acceptRetryDelay is the delay before accepting again after a listener error,
+// such as a lack of file descriptors.
+const acceptRetryDelay = 5 * time.Millisecond
 
-// Serve accepts connections until Shutdown or Close; it then returns
+// Serve accepts connections until Shutdown or Close is called, then returns
 // http.ErrServerClosed.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
@@ -88,7 +95,7 @@
 			return http.ErrServerClosed
 		}
 		_ = s.cfg.Logger.Log("event", "accept_failed", "err", err)
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
@@ -98,7 +105,7 @@
 	return s.closed
 }
 
-// open starts serving a connection.
+// open starts serving a connection, or closes it if the server is closed.
 func (s *Server) open(raw net.Conn) {
 	c := newConn(s, raw)
 	s.mu.Lock()
@@ -117,21 +124,23 @@
 	delete(s.conns, c)
 }
 
-// Leave closes each connection after its next answer.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// Leave disables keep-alive: each connection is closed after its next response.
+func (s *Server) Leave() { s.keepAliveOff.Store(true) }
 
 const (
-	// shutdownCheck is the time between two looks whether connections have ended.
-	shutdownCheck = 10 * time.Millisecond
-	// lastAnswers is how long requests that are cancelled at the end of a shutdown have for
-	// their answers. The handler has them ready at once.
-	lastAnswers = 200 * time.Millisecond
+	// shutdownPollInterval is the interval at which a shutdown checks whether
+	// connections are left.
+	shutdownPollInterval = 10 * time.Millisecond
+	// cancelGrace is the time for the responses to requests that a shutdown cancels
+	// when its context ends. It is short: the handler responds to a cancelled
+	// request at once.
+	cancelGrace = 200 * time.Millisecond
 )
 
-// Shutdown stops accepting connections, closes the idle ones and waits until
-// the requests that were read have been answered, or ctx ends. It then cancels those that
-// are left, so that the handler answers them, and returns a *CutError for those that it
-// doesn't.
+// Shutdown stops accepting connections, closes idle ones and waits until all
+// requests that were read have been answered. When ctx ends earlier, it cancels the
+// remaining requests, so that the handler responds to them, and returns a *CutError
+// if some still have no response after cancelGrace.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Leave()
 	s.mu.Lock()
@@ -139,22 +148,22 @@
 	l := s.listener
 	s.mu.Unlock()
 	if l != nil {
-		_ = l.Close() // Serve reports it
+		_ = l.Close() // Serve sees the closed listener
 	}
-	if s.awaitEnd(ctx) {
+	if s.awaitClosed(ctx) {
 		return nil
 	}
-	s.cancelOpen()
-	rest, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastAnswers)
+	s.cancelPending()
+	rest, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelGrace)
 	defer cancel()
-	s.awaitEnd(rest)
-	return s.cutOpen()
+	s.awaitClosed(rest)
+	return s.reportPending()
 }
 
-// awaitEnd closes idle connections until there are none, and reports false when ctx ends
-// before.
-func (s *Server) awaitEnd(ctx context.Context) bool {
-	t := time.NewTicker(shutdownCheck)
+// awaitClosed closes connections as they become idle until none is left. It returns
+// false if ctx ends before that.
+func (s *Server) awaitClosed(ctx context.Context) bool {
+	t := time.NewTicker(shutdownPollInterval)
 	defer t.Stop()
 	for s.closeIdle() > 0 {
 		select {
@@ -166,24 +175,25 @@
 	return true
 }
 
-// closeIdle closes the connections that have no request, and returns the number
-// of the others.
+// closeIdle starts to close all connections without a request, and returns the
+// number of connections that are still open, including those.
 func (s *Server) closeIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.hangUpIfIdle()
+		c.closeIfIdle()
 	}
 	return len(s.conns)
 }
 
-// Close ends everything at once.
+// Close closes the listener and all connections at once, without waiting for
+// responses.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
 	for c := range s.conns {
-		_ = c.raw.Close() // all are dropped together
+		_ = c.raw.Close() // dropped without regard to errors
 	}
 	if s.listener == nil {
 		return nil
--- a/transport/callers/server_test.go
+++ b/transport/callers/server_test.go
@@ -20,8 +20,8 @@
 	"github.com/shoenig/test/wait"
 )
 
-// start serves a handler on loopback and returns its address.
-func start(t *testing.T, h http.HandlerFunc) (*Server, string) {
+// startServer serves a handler on loopback and returns the server and its address.
+func startServer(t *testing.T, h http.HandlerFunc) (*Server, string) {
 	t.Helper()
 	s := New(Config{
 		Handler: h,
@@ -57,7 +57,7 @@
 
 func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n" }
 
-func answer(t *testing.T, br *bufio.Reader) (*http.Response, string) {
+func readResponse(t *testing.T, br *bufio.Reader) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(br, nil)
 	must.NoError(t, err)
@@ -66,11 +66,11 @@
 	return resp, string(b)
 }
 
-func TestRequestsSentAheadAreWorkedOnTogetherAndAnsweredInOrder(t *testing.T) {
+func TestPipelinedRequestsAreHandledConcurrentlyAndAnsweredInOrder(t *testing.T) {
 	second := make(chan struct{})
-	_, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+	_, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/1" {
-			<-second // answered only while the second one is worked on
+			<-second // returns only once the second request is being handled
 		} else {
 			close(second)
 		}
@@ -78,14 +78,14 @@
 	})
 	c, br := dial(t, addr)
 	send(t, c, get("/1")+get("/2"))
-	_, one := answer(t, br)
-	_, two := answer(t, br)
+	_, one := readResponse(t, br)
+	_, two := readResponse(t, br)
 	must.Eq(t, []string{"/1", "/2"}, []string{one, two})
 }
 
-func TestRequestThatMayNotRunAgainWaitsForThoseBeforeIt(t *testing.T) {
+func TestNonRepeatableRequestWaitsForEarlierResponses(t *testing.T) {
 	var running atomic.Int32
-	_, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+	_, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		must.Eq(t, 1, running.Add(1))
 		time.Sleep(20 * time.Millisecond)
 		running.Add(-1)
@@ -94,15 +94,15 @@
 	c, br := dial(t, addr)
 	post := "POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"
 	send(t, c, get("/1")+post+post)
-	_, _ = answer(t, br)
-	_, two := answer(t, br)
-	_, three := answer(t, br)
+	_, _ = readResponse(t, br)
+	_, two := readResponse(t, br)
+	_, three := readResponse(t, br)
 	must.Eq(t, "abc abc", two+" "+three)
 }
 
-func TestNothingIsServedBehindAnAnswerThatEndsTheConnection(t *testing.T) {
+func TestNoRequestIsHandledAfterAResponseThatClosesTheConnection(t *testing.T) {
 	var posts atomic.Int32
-	_, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+	_, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			posts.Add(1)
 		}
@@ -111,7 +111,7 @@
 	})
 	c, br := dial(t, addr)
 	send(t, c, get("/1")+"POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc")
-	resp, body := answer(t, br)
+	resp, body := readResponse(t, br)
 	must.True(t, resp.Close)
 	must.Eq(t, "one", body)
 	_, err := br.ReadByte()
@@ -119,7 +119,7 @@
 	must.Eq(t, 0, posts.Load())
 }
 
-func TestCallerThatLeavesCancelsItsRequest(t *testing.T) {
+func TestCallerThatDisconnectsCancelsItsRequest(t *testing.T) {
 	for name, request := range map[string]string{
 		"with a request behind it":             get("/1") + get("/2"),
 		"after a body":                         "POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc",
@@ -130,7 +130,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			begun, gone := make(chan struct{}, 2), make(chan struct{}, 2)
-			_, addr := start(t, func(_ http.ResponseWriter, r *http.Request) {
+			_, addr := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
 				begun <- struct{}{}
 				<-r.Context().Done()
@@ -145,9 +145,9 @@
 	}
 }
 
-func TestCallerThatLeavesALeavingServerCancelsItsRequest(t *testing.T) {
+func TestCallerThatDisconnectsDuringAShutdownCancelsItsRequest(t *testing.T) {
 	begun, gone := make(chan struct{}), make(chan struct{})
-	s, addr := start(t, func(_ http.ResponseWriter, r *http.Request) {
+	s, addr := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(begun)
 		<-r.Context().Done()
 		close(gone)
@@ -162,7 +162,7 @@
 
 func TestCallerThatResetsItsConnectionCancelsItsRequest(t *testing.T) {
 	begun, gone := make(chan struct{}), make(chan struct{})
-	_, addr := start(t, func(_ http.ResponseWriter, r *http.Request) {
+	_, addr := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(begun)
 		<-r.Context().Done()
 		close(gone)
@@ -170,14 +170,14 @@
 	c, _ := dial(t, addr)
 	send(t, c, "GET /1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 	<-begun
-	must.NoError(t, c.(*net.TCPConn).SetLinger(0)) // closing resets it
+	must.NoError(t, c.(*net.TCPConn).SetLinger(0)) // Close resets the connection
 	must.NoError(t, c.Close())
 	<-gone
 }
 
-func TestBytesBehindTheLastRequestLeaveItsAnswerWhole(t *testing.T) {
+func TestBytesAfterTheLastRequestDoNotTruncateItsResponse(t *testing.T) {
 	begun, release := make(chan struct{}), make(chan struct{})
-	_, addr := start(t, func(w http.ResponseWriter, _ *http.Request) {
+	_, addr := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		close(begun)
 		<-release
 		_, _ = io.WriteString(w, "whole")
@@ -187,14 +187,14 @@
 	<-begun
 	send(t, c, strings.Repeat(get("/2"), 1000))
 	close(release)
-	resp, body := answer(t, br)
+	resp, body := readResponse(t, br)
 	must.True(t, resp.Close)
 	must.Eq(t, "whole", body)
 	_, err := br.ReadByte()
 	must.ErrorIs(t, err, io.EOF)
 }
 
-func TestFramingOfAnswers(t *testing.T) {
+func TestResponseFraming(t *testing.T) {
 	for name, tc := range map[string]struct {
 		handler http.HandlerFunc
 		method  string
@@ -209,9 +209,9 @@
 		"with length": {withLength, "GET", strings.Repeat("x", 100<<10), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, addr := start(t, tc.handler)
+			_, addr := startServer(t, tc.handler)
 			c, br := dial(t, addr)
-			for range 2 { // the connection goes on
+			for range 2 { // the connection is kept open
 				send(t, c, tc.method+" / HTTP/1.1\r\nHost: h\r\n\r\n")
 				resp, err := http.ReadResponse(br, &http.Request{Method: tc.method})
 				must.NoError(t, err)
@@ -237,7 +237,7 @@
 	}
 }
 
-func TestCutAnswerDoesNotLookWhole(t *testing.T) {
+func TestTruncatedResponseIsDetectable(t *testing.T) {
 	for name, h := range map[string]http.HandlerFunc{
 		"aborted": func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, "abc")
@@ -250,7 +250,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, addr := start(t, h)
+			_, addr := startServer(t, h)
 			c, br := dial(t, addr)
 			send(t, c, get("/"))
 			resp, err := http.ReadResponse(br, nil)
@@ -262,8 +262,8 @@
 	}
 }
 
-func TestBadRequestsAreRefusedAndTheServerGoesOn(t *testing.T) {
-	_, addr := start(t, func(http.ResponseWriter, *http.Request) {})
+func TestMalformedRequestsAreRejectedAndTheServerKeepsServing(t *testing.T) {
+	_, addr := startServer(t, func(http.ResponseWriter, *http.Request) {})
 	for name, tc := range map[string]struct {
 		text   string
 		status int
@@ -277,16 +277,16 @@
 		t.Run(name, func(t *testing.T) {
 			c, br := dial(t, addr)
 			send(t, c, tc.text)
-			resp, _ := answer(t, br)
+			resp, _ := readResponse(t, br)
 			must.Eq(t, tc.status, resp.StatusCode)
 			must.True(t, resp.Close)
 		})
 	}
 }
 
-func TestShutdownAnswersWhatWasRead(t *testing.T) {
+func TestShutdownAnswersRequestsThatWereRead(t *testing.T) {
 	begun, release := make(chan struct{}), make(chan struct{})
-	s, addr := start(t, func(w http.ResponseWriter, _ *http.Request) {
+	s, addr := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		close(begun)
 		<-release
 		_, _ = io.WriteString(w, "whole")
@@ -301,7 +301,7 @@
 	_, err := idleReader.ReadByte()
 	must.ErrorIs(t, err, io.EOF)
 	close(release)
-	resp, body := answer(t, br)
+	resp, body := readResponse(t, br)
 	must.Eq(t, "whole", body)
 	must.True(t, resp.Close)
 	must.NoError(t, c.Close())
@@ -309,9 +309,9 @@
 	must.NoError(t, <-ended)
 }
 
-func TestRequestAtTheEndOfAShutdownIsAnswered(t *testing.T) {
+func TestRequestCancelledAtTheEndOfAShutdownIsAnswered(t *testing.T) {
 	begun := make(chan struct{})
-	s, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+	s, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		close(begun)
 		<-r.Context().Done()
 		w.WriteHeader(http.StatusBadGateway)
@@ -322,13 +322,13 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	must.NoError(t, s.Shutdown(ctx))
-	resp, _ := answer(t, br)
+	resp, _ := readResponse(t, br)
 	must.Eq(t, http.StatusBadGateway, resp.StatusCode)
 	must.True(t, resp.Close)
 }
 
-func TestExpectedBodyIsAskedFor(t *testing.T) {
-	_, addr := start(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
+func TestReadingAnExpectedBodySendsContinue(t *testing.T) {
+	_, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) })
 	c, br := dial(t, addr)
 	send(t, c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n")
 	line, err := br.ReadString('\n')
@@ -336,15 +336,15 @@
 	must.Eq(t, "HTTP/1.1 100 Continue\r\n", line)
 	_, _ = br.ReadString('\n')
 	send(t, c, "abc")
-	_, body := answer(t, br)
+	_, body := readResponse(t, br)
 	must.Eq(t, "abc", body)
 }
 
-// On tabla-mesh quiet-1 a leaving node ended connections with an answer while
-// it was at work on requests that stood behind it, and cancelled them.
-func TestLeavingServerAnswersAllThatItWorksOn(t *testing.T) {
+// Guards against a node that, while it shuts down, closes connections after a
+// response although it handles pipelined requests behind it, and so cancels those.
+func TestShutdownAnswersAllPipelinedRequests(t *testing.T) {
 	begun, release := make(chan struct{}, 3), make(chan struct{})
-	s, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+	s, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		begun <- struct{}{}
 		select {
 		case <-release:
@@ -360,30 +360,30 @@
 	s.Leave()
 	close(release)
 	for _, want := range []string{"/1", "/2", "/3"} {
-		resp, body := answer(t, br)
+		resp, body := readResponse(t, br)
 		must.Eq(t, want, body)
-		must.Eq(t, want == "/3", resp.Close, must.Sprint("only the last answer ends the connection"))
+		must.Eq(t, want == "/3", resp.Close, must.Sprint("only the last response must close the connection"))
 	}
 	_, err := br.ReadByte()
 	must.ErrorIs(t, err, io.EOF)
 }
 
-func TestLeavingServerEndsAConnectionWithItsNextAnswer(t *testing.T) {
-	s, addr := start(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.URL.Path) })
+func TestConnectionClosesWithItsNextResponseDuringAShutdown(t *testing.T) {
+	s, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.URL.Path) })
 	c, br := dial(t, addr)
 	send(t, c, get("/1"))
-	resp, _ := answer(t, br)
+	resp, _ := readResponse(t, br)
 	must.False(t, resp.Close)
 	s.Leave()
 	send(t, c, get("/2"))
-	resp, body := answer(t, br)
+	resp, body := readResponse(t, br)
 	must.Eq(t, "/2", body)
 	must.True(t, resp.Close)
 }
 
-func TestRequestBehindAnAnswerThatIsEndingDoesNotCutIt(t *testing.T) {
+func TestRequestBehindTheFinalResponseDoesNotTruncateIt(t *testing.T) {
 	begun, release := make(chan struct{}, 2), make(chan struct{})
-	_, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+	_, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Connection", "close")
 		_, _ = io.WriteString(w, "first")
 		_ = http.NewResponseController(w).Flush()
@@ -395,27 +395,27 @@
 	send(t, c, get("/1"))
 	<-begun
 	send(t, c, get("/2"))
-	time.Sleep(20 * time.Millisecond) // it is read, or not yet: neither may cut the answer
+	time.Sleep(20 * time.Millisecond) // whether the request was read or not, the response must stay complete
 	close(release)
-	_, body := answer(t, br)
+	_, body := readResponse(t, br)
 	must.Eq(t, "first rest", body)
 	must.Eq(t, 0, len(begun))
 }
 
-// lines collects log lines.
-type lines struct {
+// logBuffer collects log lines.
+type logBuffer struct {
 	mu  sync.Mutex
 	all strings.Builder
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all.Write(p)
 }
 
-func (l *lines) contains(text string) bool {
+func (l *logBuffer) contains(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.all.String(), text)
@@ -426,7 +426,7 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(f), wait.Timeout(10*time.Second)), must.Sprint(what))
 }
 
-func TestLogTellsOfRequestsWithoutAnAnswer(t *testing.T) {
+func TestCutRequestsAreCountedAndLogged(t *testing.T) {
 	for name, test := range map[string]struct {
 		end   func(s *Server, caller net.Conn, release chan<- bool)
 		cause cutCause
@@ -444,25 +444,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			begun, release := make(chan struct{}), make(chan bool)
-			s, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+			s, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 				if test.cause == cutBroken {
 					must.NoError(t, http.NewResponseController(w).Flush())
 				}
 				close(begun)
-				left := r.Context().Done()
+				cancelled := r.Context().Done()
 				if test.cause == cutShutdown {
-					left = nil // the handler doesn't notice that it is cancelled
+					cancelled = nil // the handler ignores the cancellation
 				}
 				select {
 				case broken := <-release:
 					if broken {
 						panic(http.ErrAbortHandler)
 					}
-				case <-left:
+				case <-cancelled:
 					panic(http.ErrAbortHandler)
 				}
 			})
-			out := new(lines)
+			out := new(logBuffer)
 			s.cfg.Logger = log.NewLogfmtLogger(log.NewSyncWriter(out))
 			counted := s.cfg.Metrics.GetOrCreateCounter(`jacinthgate_callers_cut_total{cause="` + string(test.cause) + `"}`)
 			c, _ := dial(t, addr)
@@ -479,8 +479,9 @@
 	}
 }
 
-// accepted returns a connection of the server that nobody serves yet, and its caller.
-func accepted(t *testing.T, s *Server) (*conn, net.Conn, *bufio.Reader) {
+// acceptUnserved returns a connection of the server whose serve goroutine isn't started, with the
+// caller's end and its reader.
+func acceptUnserved(t *testing.T, s *Server) (*conn, net.Conn, *bufio.Reader) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -495,30 +496,30 @@
 	return c, caller, br
 }
 
-func TestRequestInTheKernelIsAnsweredByALeavingServer(t *testing.T) {
-	s, _ := start(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
-	c, caller, br := accepted(t, s)
+func TestRequestInTheReceiveQueueIsAnsweredDuringAShutdown(t *testing.T) {
+	s, _ := startServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
+	c, caller, br := acceptUnserved(t, s)
 	send(t, caller, get("/"))
 	s.Leave()
 	s.closeIdle()
 	go c.serve()
-	resp, body := answer(t, br)
+	resp, body := readResponse(t, br)
 	must.Eq(t, "whole", body)
 	must.True(t, resp.Close)
 }
 
-func TestRequestInTheKernelIsAnsweredAfterTheIdleTimeout(t *testing.T) {
-	s, _ := start(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
-	c, caller, br := accepted(t, s)
+func TestRequestInTheReceiveQueueIsAnsweredAfterTheIdleTimeout(t *testing.T) {
+	s, _ := startServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
+	c, caller, br := acceptUnserved(t, s)
 	send(t, caller, get("/"))
 	s.cfg.Limits = func() Limits { return Limits{HeaderTimeout: time.Minute, IdleTimeout: time.Nanosecond} }
 	go c.serve()
-	_, body := answer(t, br)
+	_, body := readResponse(t, br)
 	must.Eq(t, "whole", body)
 }
 
-func TestRequestThatWasReadIsNotCancelledByALeavingServer(t *testing.T) {
-	s, _ := start(t, func(w http.ResponseWriter, r *http.Request) {
+func TestRequestThatWasReadIsNotCancelledByAShutdown(t *testing.T) {
+	s, _ := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-r.Context().Done():
 			panic(http.ErrAbortHandler)
@@ -527,26 +528,26 @@
 		_, _ = io.WriteString(w, "whole")
 	})
 	s.Leave()
-	c, caller, br := accepted(t, s)
+	c, caller, br := acceptUnserved(t, s)
 	send(t, caller, get("/"))
 	x, err := c.next()
 	must.NoError(t, err)
 	s.closeIdle()
 	go c.start(x)
-	_, body := answer(t, br)
+	_, body := readResponse(t, br)
 	must.Eq(t, "whole", body)
 }
 
-func TestShutdownDoesNotResetAConnectionBehindItsLastAnswer(t *testing.T) {
-	s, addr := start(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
+func TestShutdownDoesNotResetAConnectionAfterItsLastResponse(t *testing.T) {
+	s, addr := startServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
 	s.Leave()
 	c, br := dial(t, addr)
 	send(t, c, get("/"))
-	_, _ = answer(t, br)
+	_, _ = readResponse(t, br)
 	_, err := br.ReadByte()
 	must.ErrorIs(t, err, io.EOF)
 	s.closeIdle()
-	time.Sleep(20 * time.Millisecond) // a connection that was closed for reading would reset what comes
+	time.Sleep(20 * time.Millisecond) // if the connection were closed for reading, the sends below would be reset
 	for range 3 {
 		send(t, c, get("/behind"))
 		time.Sleep(5 * time.Millisecond)
--- a/transport/callers/slow_test.go
+++ b/transport/callers/slow_test.go
@@ -11,52 +11,53 @@
 )
 
 const (
-	// slowAnswer is the size of an answer of which most waits in the server's kernel, and
-	// slowPiece what its caller takes at a time, in bytes.
-	slowAnswer = 2 << 20
-	slowPiece  = 4 << 10
+	// slowResponseSize is the size of a response of which most waits in the server's send queue, and
+	// slowReadSize how much its caller reads at a time, in bytes.
+	slowResponseSize = 2 << 20
+	slowReadSize     = 4 << 10
 )
 
-// answerSlowly answers with slowAnswer bytes.
-func answerSlowly(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, slowAnswer)) }
+// serveLargeResponse is a handler that sends slowResponseSize bytes.
+func serveLargeResponse(w http.ResponseWriter, _ *http.Request) {
+	_, _ = w.Write(make([]byte, slowResponseSize))
+}
 
-// takesAll reads an answer whole after a while in which the caller has taken a part of it at a
-// time, and sends a further request in the middle.
-func takesAll(t *testing.T, c net.Conn, br *bufio.Reader) {
+// readSlowly reads a complete response: slowly for 2*lingerTime, then fast. In between it sends a
+// further request.
+func readSlowly(t *testing.T, c net.Conn, br *bufio.Reader) {
 	t.Helper()
 	resp, err := http.ReadResponse(br, nil)
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, resp.StatusCode)
-	got, piece := 0, make([]byte, slowPiece)
+	got, piece := 0, make([]byte, slowReadSize)
 	sent := false
-	for slow := time.Now().Add(2 * lingerTime); got < slowAnswer; {
+	for slow := time.Now().Add(2 * lingerTime); got < slowResponseSize; {
 		n, err := resp.Body.Read(piece)
 		got += n
-		must.True(t, err == nil || got == slowAnswer, must.Sprint(got, " bytes of ", slowAnswer, " arrived: ", err))
+		must.True(t, err == nil || got == slowResponseSize, must.Sprint(got, " bytes of ", slowResponseSize, " arrived: ", err))
 		if time.Now().Before(slow) {
 			time.Sleep(lingerTime / 20)
 		} else if !sent {
 			sent = true
-			_, _ = c.Write([]byte(get("/2"))) // reading reports a closed connection
+			_, _ = c.Write([]byte(get("/2"))) // the read returns the error of a closed connection
 			time.Sleep(lingerTime / 20)
 		}
 	}
 }
 
-// Guards against an idle timeout that runs while the caller is still taking its answer.
-func TestAnswerThatItsCallerTakesSlowlyOutlivesTheIdleTimeout(t *testing.T) {
-	_, addr := startLimited(t, func() Limits { return Limits{IdleTimeout: lingerTime / 5} }, answerSlowly)
+// Guards against an idle timeout that runs while the caller is still receiving its response.
+func TestSlowlyReadResponseOutlivesTheIdleTimeout(t *testing.T) {
+	_, addr := startWithLimits(t, func() Limits { return Limits{IdleTimeout: lingerTime / 5} }, serveLargeResponse)
 	c, br := dial(t, addr)
 	send(t, c, get("/1"))
-	takesAll(t, c, br)
+	readSlowly(t, c, br)
 }
 
-// Guards against a reset that takes the last answer on a connection from a caller that takes it
-// slowly.
-func TestLastAnswerThatItsCallerTakesSlowlyArrivesWhole(t *testing.T) {
-	s, addr := startLimited(t, func() Limits { return Limits{IdleTimeout: time.Minute} }, answerSlowly)
+// Guards against a reset of a connection whose caller is still receiving the last response.
+func TestSlowlyReadLastResponseArrivesComplete(t *testing.T) {
+	s, addr := startWithLimits(t, func() Limits { return Limits{IdleTimeout: time.Minute} }, serveLargeResponse)
 	s.Leave()
 	c, br := dial(t, addr)
 	send(t, c, get("/1"))
-	takesAll(t, c, br)
+	readSlowly(t, c, br)
 }
--- a/transport/callers/turn.go
+++ b/transport/callers/turn.go
@@ -6,45 +6,47 @@
 	"time"
 )
 
-// errTurnMissed reports a response that can't be kept any longer and whose turn hasn't come.
-var errTurnMissed = errors.New("the turn of the response has not come in time")
+// errTurnMissed is returned for a response that must be sent although its turn hasn't come before
+// the channel of WaitUntil was closed.
+var errTurnMissed = errors.New("earlier responses on the connection were not complete in time")
 
-// Arrived returns when the request's head was read: it may have waited for others since.
-func (w *response) Arrived() time.Time { return w.x.began }
+// Arrived returns when the request's head was read. The handler may have started later, after
+// earlier requests of the connection.
+func (w *response) Arrived() time.Time { return w.x.readAt }
 
-// WaitUntil is called for a response that is sent before it is whole. Once done is closed, it isn't
-// begun any more unless it is whole by then. Requests that are read after it wait for its end: if it
-// breaks off, it ends the connection.
+// WaitUntil marks the response as streamed, that is, sent before it is complete. Once done is
+// closed, the response can no longer begin, unless the handler has returned by then. Requests that
+// are read after this call wait until the response ends, because truncating it would close the
+// connection.
 func (w *response) WaitUntil(done <-chan struct{}) {
-	w.x.partial.Store(true)
+	w.x.streaming.Store(true)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.expired = done
 }
 
-// Followed reports whether other requests stand behind this one.
+// Followed reports whether further requests of the connection were read after this one.
 func (w *response) Followed() bool {
 	c := w.x.conn
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last != w.x.done
+	return c.newestDone != w.x.done
 }
 
-// myTurn reports whether the responses before this one are complete.
-func (w *response) myTurn() bool {
+// isNext reports whether the responses before this one are complete.
+func (w *response) isNext() bool {
 	select {
-	case <-w.x.before:
+	case <-w.x.prevDone:
 		return true
 	default:
 		return false
 	}
 }
 
-// awaitTurn waits for the response's turn. It reports false where the time to write the response
-// is over.
+// awaitTurn waits for the response's turn. It returns false if expired is closed first.
 func (w *response) awaitTurn() bool {
 	select {
-	case <-w.x.before:
+	case <-w.x.prevDone:
 	case <-w.expired:
 		return false
 	}
@@ -56,22 +58,22 @@
 	}
 }
 
-// FlushError implements what http.ResponseController looks for. Before the response's turn it
-// doesn't wait: what is kept then is sent in its turn.
+// FlushError implements the method that http.ResponseController calls. Before the response's turn
+// it doesn't block: the buffered part is flushed when the turn comes.
 func (w *response) FlushError() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.status == 0 {
 		w.status = http.StatusOK
 	}
-	if !w.myTurn() {
-		w.flushInTurn()
+	if !w.isNext() {
+		w.flushWhenNext()
 		return nil
 	}
 	return w.flush()
 }
 
-// flush sends what was written so far. w.mu is held.
+// flush sends everything written so far. The caller holds w.mu.
 func (w *response) flush() error {
 	if err := w.begin(false); err != nil {
 		return err
@@ -79,35 +81,36 @@
 	return w.x.conn.bw.Flush()
 }
 
-// flushInTurn flushes once the responses before this one are complete. w.mu is held.
-func (w *response) flushInTurn() {
-	if w.flushing {
+// flushWhenNext flushes in the background once the responses before this one are complete. It fixes
+// the headers as they are now. The caller holds w.mu.
+func (w *response) flushWhenNext() {
+	if w.flushPending {
 		return
 	}
-	w.flushing = true
+	w.flushPending = true
 	w.frozen = w.header.Clone()
 	go func() {
-		<-w.x.before
+		<-w.x.prevDone
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if !w.ended {
-			_ = w.flush() // writing on reports it
+		if !w.finished {
+			_ = w.flush() // the next write returns the error
 		}
 	}()
 }
 
-// replace turns a response that has failed into an empty one with a status. It reports false where
-// a part of it was sent, or where the caller has left.
+// replace discards a failed response and sets an empty one with the given status. It returns false
+// if a part of the failed response was sent, or if the caller has closed the connection.
 func (w *response) replace(status int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.begun.Load() || w.x.conn.callerHasLeft() {
+	if w.begun.Load() || w.x.conn.isCallerGone() {
 		return false
 	}
 	w.frozen = http.Header{"Content-Length": {"0"}}
 	if w.x.hasBody() && !w.x.bodyEnded() {
-		w.frozen["Connection"] = []string{"close"} // the handler may still be reading
+		w.frozen["Connection"] = []string{"close"} // the handler's goroutines may still be reading the body
 	}
-	w.status, w.kept = status, nil
+	w.status, w.buffered = status, nil
 	return true
 }
--- a/transport/callers/turn_test.go
+++ b/transport/callers/turn_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestAnswerThatFailsBeforeItsTurnTakesNoOtherAlong(t *testing.T) {
+func TestResponseThatFailsBeforeItsTurnLeavesOthersIntact(t *testing.T) {
 	for name, test := range map[string]struct {
 		fail   func(w http.ResponseWriter)
 		status int
@@ -27,7 +27,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			failed := make(chan struct{})
-			_, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+			_, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 				switch r.URL.Path {
 				case "/1":
 					<-failed
@@ -39,19 +39,19 @@
 			})
 			c, br := dial(t, addr)
 			send(t, c, get("/1")+get("/2")+get("/3"))
-			resp, body := answer(t, br)
+			resp, body := readResponse(t, br)
 			must.Eq(t, "200 /1", status(resp)+" "+body)
-			resp, _ = answer(t, br)
+			resp, _ = readResponse(t, br)
 			must.Eq(t, test.status, resp.StatusCode)
-			resp, body = answer(t, br)
+			resp, body = readResponse(t, br)
 			must.Eq(t, "200 /3", status(resp)+" "+body)
 		})
 	}
 }
 
-func TestFlushBeforeItsTurnDoesNotHoldUpTheHandler(t *testing.T) {
+func TestFlushBeforeItsTurnDoesNotBlockTheHandler(t *testing.T) {
 	flushed, read := make(chan struct{}), make(chan struct{})
-	_, addr := start(t, func(w http.ResponseWriter, r *http.Request) {
+	_, addr := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/1" {
 			<-flushed
 			return
@@ -59,12 +59,12 @@
 		_, _ = io.WriteString(w, "first,")
 		must.NoError(t, http.NewResponseController(w).Flush())
 		close(flushed)
-		<-read // the caller gets the first part while the handler goes on
+		<-read // the caller gets the first part while the handler is running
 		_, _ = io.WriteString(w, "second")
 	})
 	c, br := dial(t, addr)
 	send(t, c, get("/1")+get("/2"))
-	_, _ = answer(t, br)
+	_, _ = readResponse(t, br)
 	resp, err := http.ReadResponse(br, nil)
 	must.NoError(t, err)
 	part := make([]byte, len("first,"))
@@ -78,11 +78,11 @@
 
 func status(resp *http.Response) string { return resp.Status[:3] }
 
-func TestRequestWhoseBodyIsStillReadEndsItsConnectionWithAReplacedAnswer(t *testing.T) {
-	_, addr := start(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+func TestReplacedResponseClosesTheConnectionIfTheBodyWasNotRead(t *testing.T) {
+	_, addr := startServer(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	c, br := dial(t, addr)
 	send(t, c, "POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\na")
-	resp, _ := answer(t, br)
+	resp, _ := readResponse(t, br)
 	must.Eq(t, http.StatusBadGateway, resp.StatusCode)
 	must.True(t, resp.Close)
 	_, err := br.ReadByte()
--- a/transport/callers/watch.go
+++ b/transport/callers/watch.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// awaitTurn waits for the answers before a request that was read, and notices a caller that leaves
-// meanwhile.
+// awaitTurn waits until the requests before x have been answered. Meanwhile it detects a caller
+// that closes the connection.
 func (c *conn) awaitTurn(x *exchange) {
 	select {
-	case <-x.before:
+	case <-x.prevDone:
 		return
 	default:
 	}
 	defer c.watch()()
-	<-x.before
+	<-x.prevDone
 }
 
-// takeSlot waits until a request that was read may be worked on, and notices a caller that leaves
-// meanwhile. It reports false when the connection has ended before.
-func (c *conn) takeSlot() bool {
+// acquireSlot waits for a free slot to handle a request. Meanwhile it detects a caller that closes
+// the connection. It returns false if the connection ends first.
+func (c *conn) acquireSlot() bool {
 	select {
 	case c.slots <- struct{}{}:
 		return true
@@ -37,23 +37,25 @@
 	}
 }
 
-// watch looks whether the caller leaves, while the goroutine that reads the connection waits for
-// something else. What the caller sends stays in the buffer. The result ends it.
+// watch detects in the background that the caller closes the connection, while the goroutine that
+// reads the connection waits for something else. What the caller sends stays in the read buffer.
+// The returned function stops the watch and waits for its end.
 func (c *conn) watch() (stop func()) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		c.watchEnd()
+		c.watchCaller()
 	}()
 	return func() {
-		_ = c.raw.SetReadDeadline(past) // a closed one has ended the watch
+		_ = c.raw.SetReadDeadline(past) // a closed connection has ended the watch
 		<-ended
-		_ = c.raw.SetReadDeadline(time.Time{}) // the next read reports a closed one
+		_ = c.raw.SetReadDeadline(time.Time{}) // the next read returns the error of a closed connection
 	}
 }
 
-// watchEnd returns when the caller has left, when the watch is stopped, or when the buffer is full.
-func (c *conn) watchEnd() {
+// watchCaller cancels the requests of a caller that closes the connection. It returns then, when the
+// watch is stopped, or when the read buffer is full.
+func (c *conn) watchCaller() {
 	for {
 		_, err := c.br.Peek(c.br.Buffered() + 1)
 		switch {
@@ -61,11 +63,12 @@
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, bufio.ErrBufferFull):
 			return
 		case errors.Is(err, io.EOF):
-			// It may have closed its sending side only: what waits is still answered.
-			c.cancelOpen()
+			// The caller may have closed its sending side only: its requests are cancelled, but
+			// their responses are still sent.
+			c.cancelPending()
 			return
 		default:
-			c.callerLeft()
+			c.handleCallerGone()
 			return
 		}
 	}
--- a/transport/listen/ending_test.go
+++ b/transport/listen/ending_test.go
@@ -7,20 +7,20 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a log that doesn't tell which connections a leaving node has reset.
-func TestEndingTellsWhatWasReset(t *testing.T) {
-	l, _ := waiting(t, 3)
+// Guards against a log without the number of connections that a node has reset while it shut down.
+func TestEndingCountsResetConnections(t *testing.T) {
+	l, _ := listenWithBacklog(t, 3)
 	must.Nil(t, l.Ending())
 	ctx, cancel := context.WithCancel(t.Context())
-	cancel() // nobody accepts until then
+	cancel() // before anything is accepted
 	must.NoError(t, l.Drain(ctx))
 	must.Eq(t, 3, l.Ending().Waiting)
 	must.Eq(t, 0, l.Ending().SinceLook)
 }
 
-// Guards against a close that comes long after the look and doesn't say so.
-func TestEndingTellsTheTimeSinceTheLook(t *testing.T) {
-	l, _ := waiting(t, 0)
+// Guards against a close long after the check of the backlog that doesn't show in the log.
+func TestEndingHasTheTimeSinceTheBacklogCheck(t *testing.T) {
+	l, _ := listenWithBacklog(t, 0)
 	done := make(chan int, 1)
 	go serve(l, done)
 	must.NoError(t, l.Drain(t.Context()))
@@ -29,10 +29,10 @@
 	must.Positive(t, l.Ending().SinceLook)
 }
 
-// Guards against connections that are reset at the end of the time to drain although they have waited
-// before it.
-func TestConnectionsThatWaitAtTheEndOfADrainAreTaken(t *testing.T) {
-	l, _ := waiting(t, 50)
+// Guards against a reset of connections that were already in the backlog when the drain's context
+// ended.
+func TestBacklogIsAcceptedWhenTheContextOfADrainEnds(t *testing.T) {
+	l, _ := listenWithBacklog(t, 50)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	done := make(chan int, 1)
--- a/transport/listen/listen.go
+++ b/transport/listen/listen.go
@@ -1,6 +1,7 @@
-// Package listen closes listeners without losing connections. The kernel resets
-// the connections that it has completed and that nobody has accepted when a
-// listener is closed; their callers have perhaps sent a request already.
+// Package listen closes listeners without losing connections. When a listener is
+// closed, the kernel resets all connections in its backlog, that is, those that
+// are established and not accepted yet. Their callers may have sent requests
+// already.
 package listen
 
 import (
@@ -16,20 +17,21 @@
 )
 
 const (
-	// quiet is how long nothing must arrive before a draining listener is closed.
-	quiet = 5 * time.Millisecond
-	// lastLook is the time between two looks whether connections still wait at the end of a
-	// drain's time, and lastWait bounds how long those are taken.
-	lastLook = time.Millisecond
-	lastWait = 100 * time.Millisecond
+	// quietPeriod is how long no connection may arrive before a draining listener is closed.
+	quietPeriod = 5 * time.Millisecond
+	// finalCheckInterval is the interval between two checks of the backlog after a drain's
+	// context has ended, and finalDrainTimeout bounds how long connections are accepted then.
+	finalCheckInterval = time.Millisecond
+	finalDrainTimeout  = 100 * time.Millisecond
 )
 
-// Listener is a listener that can be drained. It is safe for concurrent use.
+// Listener is a listener that can be drained: before it closes, the connections in its backlog are
+// accepted. It is safe for concurrent use.
 type Listener struct {
 	net.Listener
 	draining atomic.Bool
-	last     atomic.Bool   // the time to drain is over
-	accepted atomic.Bool   // since the deadline was set
+	expired  atomic.Bool   // the drain's context has ended
+	accepted atomic.Bool   // a connection was accepted since the deadline was set
 	drained  chan struct{} // closed with the listener
 
 	closing  sync.Once
@@ -37,26 +39,26 @@
 	ending   atomic.Pointer[Ending]
 }
 
-// Ending tells how a drained listener was closed.
+// Ending describes the state in which a listener was closed.
 type Ending struct {
-	// SinceLook is the time between the last look that found no connection waiting and the
-	// close; 0 where no look did.
+	// SinceLook is the time between the check that found the backlog empty and the close;
+	// 0 if the listener was closed without such a check.
 	SinceLook time.Duration
-	// Waiting is the number of connections that waited at the close, which resets them.
+	// Waiting is the size of the backlog at the close, which resets these connections.
 	Waiting int
 }
 
-// Ending returns how the listener was closed; nil before.
+// Ending returns the state in which the listener was closed; nil if it is open.
 func (l *Listener) Ending() *Ending { return l.ending.Load() }
 
-// New wraps a listener.
+// New returns a Listener that wraps l.
 func New(l net.Listener) *Listener { return &Listener{Listener: l, drained: make(chan struct{})} }
 
-// deadliner is a listener whose Accept can be given a deadline.
+// deadliner is a listener that supports a deadline for Accept.
 type deadliner interface{ SetDeadline(time.Time) error }
 
-// Accept implements net.Listener. After Drain it returns net.ErrClosed once no
-// connection waits any more.
+// Accept implements net.Listener. While the listener is drained, it returns connections
+// until the backlog is empty, then closes the listener and returns net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -69,10 +71,10 @@
 			return nil, err
 		case !l.draining.Load() || !errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, err
-		case (l.last.Load() || !l.accepted.Swap(false)) && !sockopt.Waiting(l.Listener):
-			// The deadline alone doesn't say that nothing came: this process may have had no
-			// processor meanwhile. What comes between the look and the close is reset, so that
-			// nothing stands between them.
+		case (l.expired.Load() || !l.accepted.Swap(false)) && !sockopt.Waiting(l.Listener):
+			// The deadline alone doesn't prove that no connection has arrived: this process may
+			// not have been scheduled. Connections that arrive between the check and the close
+			// are reset, so the close follows at once, on the same goroutine.
 			l.close(time.Now())
 			return nil, net.ErrClosed
 		}
@@ -80,42 +82,43 @@
 	}
 }
 
-// Close implements net.Listener. Closing it again does nothing: the server that accepts from it does
-// so as well.
+// Close implements net.Listener. Further calls return the result of the first one, since the server
+// that accepts from the listener closes it as well.
 func (l *Listener) Close() error {
 	l.close(time.Time{})
 	return l.closeErr
 }
 
-// close closes the listener, once, and notes what that resets. looked is when no connection was
-// waiting; zero where nobody has looked.
-func (l *Listener) close(looked time.Time) {
+// close closes the listener, once, and records the Ending. emptyAt is when a check found the backlog
+// empty; zero if there was no such check.
+func (l *Listener) close(emptyAt time.Time) {
 	l.closing.Do(func() {
 		e := new(Ending)
-		if !looked.IsZero() {
-			e.SinceLook = time.Since(looked)
+		if !emptyAt.IsZero() {
+			e.SinceLook = time.Since(emptyAt)
 		}
-		e.Waiting, _ = sockopt.Backlog(l.Listener) // 0 where it isn't known
+		e.Waiting, _ = sockopt.Backlog(l.Listener) // 0 if unknown
 		l.closeErr = l.Listener.Close()
 		l.ending.Store(e)
 		close(l.drained)
 	})
 }
 
-// arm gives Accept its next deadline.
+// arm sets the next deadline of Accept.
 func (l *Listener) arm() {
-	wait := quiet
-	if l.last.Load() {
-		wait = lastLook
+	wait := quietPeriod
+	if l.expired.Load() {
+		wait = finalCheckInterval
 	}
 	if d, ok := l.Listener.(deadliner); ok {
-		_ = d.SetDeadline(time.Now().Add(wait)) // Accept reports a closed listener
+		_ = d.SetDeadline(time.Now().Add(wait)) // Accept returns the error of a closed listener
 	}
 }
 
-// Drain lets Accept take every connection that waits and then closes the
-// listener. When ctx ends it takes those that wait then: callers may go on connecting for ever.
-// Somebody must go on calling Accept until it fails.
+// Drain waits until Accept has returned all connections in the backlog and none arrive for
+// quietPeriod, and closes the listener. Since callers may keep connecting, it waits only for an empty
+// backlog once ctx has ended, for finalDrainTimeout at most. The server must call Accept until it
+// returns an error. Drain returns net.ErrClosed if the listener is closed already.
 func (l *Listener) Drain(ctx context.Context) error {
 	if l.Ending() != nil {
 		return net.ErrClosed
@@ -125,17 +128,17 @@
 		select {
 		case <-l.drained:
 		case <-ctx.Done():
-			l.drainLast()
+			l.finishDrain()
 		}
 	}
 	return l.Close()
 }
 
-// drainLast waits until no connection waits, for lastWait at most.
-func (l *Listener) drainLast() {
-	l.last.Store(true)
+// finishDrain waits until the backlog is empty, for finalDrainTimeout at most.
+func (l *Listener) finishDrain() {
+	l.expired.Store(true)
 	l.arm()
-	t := time.NewTimer(lastWait)
+	t := time.NewTimer(finalDrainTimeout)
 	defer t.Stop()
 	select {
 	case <-l.drained:
@@ -143,9 +146,9 @@
 	}
 }
 
-// Error reports an address that can't be listened on.
+// Error is returned for a configured address that can't be listened on.
 type Error struct {
-	// Name is the name of the setting.
+	// Name is the name of the setting under "listen".
 	Name string
 	// Addr is the address.
 	Addr string
--- a/transport/listen/listen_test.go
+++ b/transport/listen/listen_test.go
@@ -10,8 +10,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// waiting returns a listener with connections that nobody has accepted.
-func waiting(t *testing.T, n int) (*Listener, []net.Conn) {
+// listenWithBacklog returns a listener with n connections in its backlog, each with bytes sent, and
+// the callers' ends of them.
+func listenWithBacklog(t *testing.T, n int) (*Listener, []net.Conn) {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -28,7 +29,7 @@
 	return l, callers
 }
 
-// serve answers every connection until the listener ends.
+// serve accepts and answers connections until Accept fails, then sends their number to done.
 func serve(l net.Listener, done chan<- int) {
 	served := 0
 	for {
@@ -38,15 +39,16 @@
 			return
 		}
 		served++
-		_, _ = io.WriteString(c, "answer") // the caller's read is what counts
+		_, _ = io.WriteString(c, "answer") // the caller's read shows a failure
 		_ = c.Close()
 	}
 }
 
-// This is what TestShutdownCutsNothing met now and then: a caller's new
-// connection was closed without an answer as the node left.
-func TestClosingLosesTheConnectionsThatWait(t *testing.T) {
-	l, callers := waiting(t, 10)
+// Shows why Drain is needed: a plain close resets the connections in the backlog. This made
+// TestShutdownCutsNothing fail now and then, since a caller's new connection was closed without a
+// response while the node shut down.
+func TestCloseResetsTheBacklog(t *testing.T) {
+	l, callers := listenWithBacklog(t, 10)
 	must.NoError(t, l.Close())
 	for _, c := range callers {
 		b := make([]byte, 1)
@@ -55,8 +57,8 @@
 	}
 }
 
-func TestDrainingAnswersTheConnectionsThatWait(t *testing.T) {
-	l, callers := waiting(t, 50)
+func TestDrainServesTheBacklog(t *testing.T) {
+	l, callers := listenWithBacklog(t, 50)
 	done := make(chan int, 1)
 	drained := make(chan error, 1)
 	go func() { drained <- l.Drain(t.Context()) }()
@@ -73,20 +75,21 @@
 	must.Error(t, err)
 }
 
-// A process that gets no processor for a while finds its deadline passed and connections waiting.
-func TestDrainingTakesConnectionsThatCameWhileTheProcessStoodStill(t *testing.T) {
-	l, _ := waiting(t, 3)
+// Guards against a drain that takes a passed deadline for an empty backlog: a process that was not
+// scheduled for a while finds the deadline passed and connections in the backlog.
+func TestDrainAcceptsConnectionsThatArrivedDuringAStall(t *testing.T) {
+	l, _ := listenWithBacklog(t, 3)
 	drained := make(chan error, 1)
 	go func() { drained <- l.Drain(t.Context()) }()
-	time.Sleep(4 * quiet)
+	time.Sleep(4 * quietPeriod)
 	done := make(chan int, 1)
 	go serve(l, done)
 	must.Eq(t, 3, <-done)
 	must.NoError(t, <-drained)
 }
 
-func TestDrainingAClosedListenerEnds(t *testing.T) {
-	l, _ := waiting(t, 0)
+func TestDrainOfAClosedListenerReturns(t *testing.T) {
+	l, _ := listenWithBacklog(t, 0)
 	done := make(chan int, 1)
 	go serve(l, done)
 	must.NoError(t, l.Close())
@@ -94,24 +97,24 @@
 	must.Error(t, l.Drain(t.Context()))
 }
 
-// endless is a listener at which connections never stop arriving.
-type endless struct{ net.Listener }
+// busyListener is a listener at which a connection is always ready to be accepted.
+type busyListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (endless) Accept() (net.Conn, error) {
+func (busyListener) Accept() (net.Conn, error) {
 	a, b := net.Pipe()
-	_ = b.Close() // the caller has left already
+	_ = b.Close() // the caller has disconnected already
 	return a, nil
 }
 
-// SetDeadline lets the listener be drained.
-func (endless) SetDeadline(time.Time) error { return nil }
+// SetDeadline makes the listener a deadliner, which Drain needs.
+func (busyListener) SetDeadline(time.Time) error { return nil }
 
-// Callers that never stop connecting don't hold up the end of a node.
-func TestDrainingEndsWithItsContext(t *testing.T) {
+// Guards against callers that keep connecting and so delay a node's shutdown without limit.
+func TestDrainEndsAfterItsContext(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	l := New(endless{inner})
+	l := New(busyListener{inner})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		for ctx.Err() == nil {
--- a/transport/sockopt/sockopt.go
+++ b/transport/sockopt/sockopt.go
@@ -1,4 +1,5 @@
-// Package sockopt does with TCP sockets what package net doesn't offer.
+// Package sockopt sets options of TCP sockets and reads their state where package net
+// has no function for it.
 package sockopt
 
 import (
@@ -13,9 +14,9 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT on Linux, which package syscall lacks.
 const tcpUserTimeout = 0x12
 
-// SetUnackedTimeout bounds how long bytes that were sent may stay unacknowledged
-// before the connection ends; the kernel's own limit is many minutes. 0 leaves it
-// so. On other connections than TCP it does nothing.
+// SetUnackedTimeout bounds how long sent bytes may stay unacknowledged before the
+// kernel closes the connection. With 0 the kernel's own limit of many minutes
+// stays. It does nothing on connections other than TCP.
 func SetUnackedTimeout(c net.Conn, d time.Duration) {
 	tc, ok := c.(*net.TCPConn)
 	if !ok || d <= 0 {
@@ -23,28 +24,28 @@
 	}
 	sc, err := tc.SyscallConn()
 	if err != nil {
-		return // the connection is closed already; its next use reports it
+		return // the connection is closed already; its next use returns the error
 	}
 	_ = sc.Control(func(fd uintptr) {
-		// Without it the connection still ends, only later.
+		// Without the option the connection is still closed, only later.
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 	})
 }
 
-// Pending reports whether a connection has received bytes that were not read. It doesn't wait
-// and leaves them where they are. False also where it has no socket.
+// Pending reports whether a connection has received bytes that were not read yet. It doesn't
+// block and doesn't consume them. It returns false for a connection without a socket.
 func Pending(conn net.Conn) bool {
-	return look(conn, func(fd int) bool {
+	return withDescriptor(conn, func(fd int) bool {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return err == nil && n > 0
 	})
 }
 
-// Waiting reports whether the kernel holds a connection that nobody has accepted. It doesn't
-// wait. False also where the listener has no socket.
+// Waiting reports whether the listener's backlog holds a connection that is ready to be accepted.
+// It doesn't block. It returns false for a listener without a socket.
 func Waiting(l net.Listener) bool {
-	return look(l, func(fd int) bool {
+	return withDescriptor(l, func(fd int) bool {
 		for {
 			fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 			n, err := unix.Poll(fds, 0)
@@ -55,23 +56,23 @@
 	})
 }
 
-// Backlog returns how many connections the kernel holds that nobody has accepted. ok is false where
-// that isn't known.
+// Backlog returns the number of connections in the listener's backlog, that is, established and not
+// accepted. ok is false if it can't be read.
 func Backlog(l net.Listener) (n int, ok bool) {
-	look(l, func(fd int) bool {
+	withDescriptor(l, func(fd int) bool {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil {
-			n, ok = int(info.Unacked), true // a listener's queue stands in this field
+			n, ok = int(info.Unacked), true // for a listener, this field is the size of its backlog
 		}
 		return ok
 	})
 	return n, ok
 }
 
-// Unsent returns how many bytes were written to a connection that its other end hasn't
-// acknowledged. ok is false where that isn't known.
+// Unsent returns the size of a connection's send queue: the bytes that were written and that its
+// peer hasn't acknowledged. ok is false if it can't be read.
 func Unsent(conn net.Conn) (n int, ok bool) {
-	look(conn, func(fd int) bool {
+	withDescriptor(conn, func(fd int) bool {
 		var err error
 		n, err = unix.IoctlGetInt(fd, unix.SIOCOUTQ)
 		ok = err == nil
@@ -80,18 +81,18 @@
 	return n, ok
 }
 
-// look calls f with the descriptor of a socket. Unlike reading and accepting it heeds no
-// deadline.
-func look(socket any, f func(fd int) bool) bool {
+// withDescriptor calls f with the file descriptor of a socket and returns f's result; false if there
+// is no descriptor. Unlike reading and accepting, it isn't affected by a deadline that has passed.
+func withDescriptor(socket any, f func(fd int) bool) bool {
 	s, ok := socket.(syscall.Conn)
 	if !ok {
 		return false
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
-		return false // it is closed
+		return false // the socket is closed
 	}
-	found := false
-	err = raw.Control(func(fd uintptr) { found = f(int(fd)) })
-	return err == nil && found
+	result := false
+	err = raw.Control(func(fd uintptr) { result = f(int(fd)) })
+	return err == nil && result
 }
--- a/transport/sockopt/sockopt_test.go
+++ b/transport/sockopt/sockopt_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestBytesAndConnectionsThatWaitAreSeen(t *testing.T) {
+func TestUnreadBytesAndBacklogAreDetected(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = ln.Close() }()
@@ -43,7 +43,7 @@
 	must.False(t, Pending(conn))
 	_, err = caller.Write([]byte("x"))
 	must.NoError(t, err)
-	must.NoError(t, conn.SetReadDeadline(time.Unix(1, 0))) // the look heeds no deadline
+	must.NoError(t, conn.SetReadDeadline(time.Unix(1, 0))) // Pending must ignore a passed deadline
 	must.True(t, Pending(conn))
 	must.NoError(t, conn.Close())
 	must.False(t, Pending(conn))
@@ -53,7 +53,7 @@
 	must.NoError(t, b.Close())
 }
 
-func TestQueuesOfTheKernelAreCounted(t *testing.T) {
+func TestBacklogAndSendQueueAreMeasured(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = ln.Close() }()
@@ -71,7 +71,7 @@
 	must.True(t, ok)
 	must.Eq(t, 0, n)
 	must.NoError(t, conn.SetWriteDeadline(time.Now().Add(50*time.Millisecond)))
-	_, err = conn.Write(make([]byte, 64<<20)) // more than the kernel takes from a caller that reads nothing
+	_, err = conn.Write(make([]byte, 64<<20)) // more than the kernel buffers while the peer reads nothing
 	must.Error(t, err)
 	n, ok = Unsent(conn)
 	must.True(t, ok)
--- a/transport/transporttest/single.go
+++ b/transport/transporttest/single.go
@@ -1,16 +1,16 @@
-// Package transporttest has what tests of several transports need.
+// Package transporttest has helpers for the tests of several transport packages.
 package transporttest
 
 import "net"
 
-// single is a listener with one connection.
-type single struct{ conn net.Conn }
+// singleListener is a listener with one connection.
+type singleListener struct{ conn net.Conn }
 
-// SingleListener returns a listener that accepts one connection and is closed then.
-func SingleListener(conn net.Conn) net.Listener { return &single{conn} }
+// SingleListener returns a listener whose Accept returns conn once and net.ErrClosed after that.
+func SingleListener(conn net.Conn) net.Listener { return &singleListener{conn} }
 
 // Accept implements net.Listener.
-func (l *single) Accept() (net.Conn, error) {
+func (l *singleListener) Accept() (net.Conn, error) {
 	c := l.conn
 	l.conn = nil
 	if c == nil {
@@ -20,7 +20,7 @@
 }
 
 // Close implements net.Listener.
-func (l *single) Close() error { return nil }
+func (l *singleListener) Close() error { return nil }
 
 // Addr implements net.Listener.
-func (l *single) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *singleListener) Addr() net.Addr { return &net.TCPAddr{} }
