--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -131,8 +131,8 @@
 // flight finish until ctx ends.
 func (s *server) shutdown(ctx context.Context, logger log.Logger) error {
 	_ = s.ln.Drain(ctx) // Shutdown closes what is still open
-	if e := s.ln.Ending(); e != nil {
-		_ = logger.Log("event", "listener_closed", "name", s.name, "since_look", e.SinceLook, "waiting", e.Waiting)
+	if e := s.ln.CloseState(); e != nil {
+		_ = logger.Log("event", "listener_closed", "name", s.name, "since_look", e.SinceEmpty, "waiting", e.Backlog)
 	}
 	return s.http.Shutdown(ctx)
 }
@@ -140,7 +140,7 @@
 // wireServers makes the HTTP servers.
 func (n *Node) wireServers() error {
 	n.front = callers.New(callers.Config{
-		Handler: n.proxy, Limits: n.callerLimits, Ahead: requestsAhead,
+		Handler: n.proxy, Limits: n.callerLimits, PipelineDepth: requestsAhead,
 		RequestID: platform.Dialect{}.RequestID, Metrics: n.metrics, Logger: n.log,
 	})
 	n.callers = n.add(listenCallers, n.front)
--- a/internal/sidecar/signals.go
+++ b/internal/sidecar/signals.go
@@ -90,7 +90,7 @@
 	began := time.Now()
 	_ = n.log.Log("event", "shutdown_started", "signal", s)
 	n.pub.leaving.Store(true)
-	n.front.Leave()
+	n.front.DisableKeepAlive()
 	notice := min(noticeTime, n.set.grace()/2)
 	time.Sleep(notice - min(withdrawLead, notice))
 	n.pub.withdrawn.Store(true)
--- a/transport/callers/conn.go
+++ b/transport/callers/conn.go
@@ -51,7 +51,7 @@
 }
 
 func newConn(s *Server, raw net.Conn) *conn {
-	c := &conn{server: s, raw: raw, slots: make(chan struct{}, max(1, s.cfg.Ahead))}
+	c := &conn{server: s, raw: raw, slots: make(chan struct{}, max(1, s.cfg.PipelineDepth))}
 	c.head.conn = raw
 	c.br = bufio.NewReaderSize(&c.head, connBuffer)
 	c.bw = bufio.NewWriterSize(raw, connBuffer)
--- a/transport/callers/crossing_test.go
+++ b/transport/callers/crossing_test.go
@@ -43,7 +43,7 @@
 	must.True(t, ok)
 	c.raw = &crossingConn{TCPConn: raw, arrive: func() {
 		send(t, caller, get("/"))
-		eventually(t, "the request has arrived", func() bool { return sockopt.Pending(raw) })
+		eventually(t, "the request has arrived", func() bool { return sockopt.HasUnread(raw) })
 	}}
 	c.head.conn = c.raw
 	ended := make(chan struct{})
--- a/transport/callers/cut.go
+++ b/transport/callers/cut.go
@@ -129,7 +129,7 @@
 // logUnsent logs how many bytes of the last responses the caller hasn't acknowledged. It is called
 // after CloseWrite, so that a FIN may be in the send queue.
 func (c *conn) logUnsent() {
-	unacked, _ := sockopt.Unsent(c.raw) // 0 if unknown
+	unacked, _ := sockopt.SendQueue(c.raw) // 0 if unknown
 	if unsent := unacked - endBytes; unsent > 0 {
 		_ = c.server.cfg.Logger.Log("event", "bytes_unsent", "remote", c.raw.RemoteAddr().String(), "bytes", unsent)
 	}
--- a/transport/callers/fuzz_test.go
+++ b/transport/callers/fuzz_test.go
@@ -68,7 +68,7 @@
 				defer mu.Unlock()
 				handled = append(handled, seen)
 			}),
-			Ahead: 4,
+			PipelineDepth: 4,
 			Limits: func() Limits {
 				return Limits{HeaderBytes: 4 << 10, HeaderTimeout: time.Second, IdleTimeout: time.Second}
 			},
--- a/transport/callers/idle.go
+++ b/transport/callers/idle.go
@@ -53,7 +53,7 @@
 // queue has changed within stallTimeout and isn't empty. Such a connection isn't idle, and closing
 // it could reset it and lose the rest of the response.
 func (c *conn) isReceiving() bool {
-	unacked, _ := sockopt.Unsent(c.raw) // 0 if unknown
+	unacked, _ := sockopt.SendQueue(c.raw) // 0 if unknown
 	if unacked != c.unacked {
 		c.unacked, c.unackedSince = unacked, time.Now()
 	}
@@ -70,7 +70,7 @@
 // arrived reports whether unread bytes have arrived on a connection whose read failed with err at
 // its deadline: the deadline may pass before this process is scheduled and reads them.
 func (c *conn) arrived(err error) bool {
-	return errors.Is(err, os.ErrDeadlineExceeded) && !c.isFinalSent() && sockopt.Pending(c.raw)
+	return errors.Is(err, os.ErrDeadlineExceeded) && !c.isFinalSent() && sockopt.HasUnread(c.raw)
 }
 
 // isFinalSent reports whether the final response of the connection was sent.
--- a/transport/callers/idle_test.go
+++ b/transport/callers/idle_test.go
@@ -22,7 +22,7 @@
 func startWithLimits(t *testing.T, limits func() Limits, h http.HandlerFunc) (*Server, string) {
 	t.Helper()
 	s := New(Config{
-		Handler: h, Ahead: 4, Limits: limits,
+		Handler: h, PipelineDepth: 4, Limits: limits,
 		RequestID: func(map[string][]string) string { return "" }, Metrics: metrics.NewSet(), Logger: log.NewNopLogger(),
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/transport/callers/limits_test.go
+++ b/transport/callers/limits_test.go
@@ -87,7 +87,7 @@
 	s := &series{t: t, seed: seed, versions: new(versions)}
 	s.versions.put(Limits{HeaderBytes: 1 << 10, HeaderTimeout: 2 * time.Second, IdleTimeout: time.Second})
 	s.server = New(Config{
-		Handler: http.HandlerFunc(s.serve), Ahead: 4, Limits: s.versions.inForce,
+		Handler: http.HandlerFunc(s.serve), PipelineDepth: 4, Limits: s.versions.inForce,
 		RequestID: func(map[string][]string) string { return "" }, Metrics: metrics.NewSet(), Logger: log.NewNopLogger(),
 	})
 	return s
--- a/transport/callers/linger_test.go
+++ b/transport/callers/linger_test.go
@@ -35,7 +35,7 @@
 	out := new(logBuffer)
 	s, addr := startWithLimits(t, func() Limits { return Limits{IdleTimeout: time.Minute} }, serveLargeResponse)
 	s.cfg.Logger = log.NewLogfmtLogger(log.NewSyncWriter(out))
-	s.Leave()
+	s.DisableKeepAlive()
 	c, br := dial(t, addr)
 	send(t, c, get("/"))
 	_, err := br.Peek(1)
--- a/transport/callers/server.go
+++ b/transport/callers/server.go
@@ -45,9 +45,9 @@
 	Handler http.Handler
 	// Limits returns the limits in force. It must not block.
 	Limits func() Limits
-	// Ahead is the number of pipelined requests of one connection that are
+	// PipelineDepth is the number of pipelined requests of one connection that are
 	// handled concurrently.
-	Ahead int
+	PipelineDepth int
 	// RequestID returns the identifier that the caller assigned to its request.
 	RequestID func(headers map[string][]string) string
 	// Metrics is the set in which the server registers its metrics.
@@ -124,8 +124,9 @@
 	delete(s.conns, c)
 }
 
-// Leave disables keep-alive: each connection is closed after its next response.
-func (s *Server) Leave() { s.keepAliveOff.Store(true) }
+// DisableKeepAlive makes the server close each connection after its next response. A node
+// calls it when it begins to shut down.
+func (s *Server) DisableKeepAlive() { s.keepAliveOff.Store(true) }
 
 const (
 	// shutdownPollInterval is the interval at which a shutdown checks whether
@@ -142,7 +143,7 @@
 // remaining requests, so that the handler responds to them, and returns a *CutError
 // if some still have no response after cancelGrace.
 func (s *Server) Shutdown(ctx context.Context) error {
-	s.Leave()
+	s.DisableKeepAlive()
 	s.mu.Lock()
 	s.closed = true
 	l := s.listener
--- a/transport/callers/server_test.go
+++ b/transport/callers/server_test.go
@@ -24,8 +24,8 @@
 func startServer(t *testing.T, h http.HandlerFunc) (*Server, string) {
 	t.Helper()
 	s := New(Config{
-		Handler: h,
-		Ahead:   4,
+		Handler:       h,
+		PipelineDepth: 4,
 		Limits: func() Limits {
 			return Limits{HeaderBytes: 1 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
 		},
@@ -153,7 +153,7 @@
 		close(gone)
 	})
 	c, _ := dial(t, addr)
-	s.Leave()
+	s.DisableKeepAlive()
 	send(t, c, get("/1"))
 	<-begun
 	must.NoError(t, c.Close())
@@ -357,7 +357,7 @@
 	for range 3 {
 		<-begun
 	}
-	s.Leave()
+	s.DisableKeepAlive()
 	close(release)
 	for _, want := range []string{"/1", "/2", "/3"} {
 		resp, body := readResponse(t, br)
@@ -374,7 +374,7 @@
 	send(t, c, get("/1"))
 	resp, _ := readResponse(t, br)
 	must.False(t, resp.Close)
-	s.Leave()
+	s.DisableKeepAlive()
 	send(t, c, get("/2"))
 	resp, body := readResponse(t, br)
 	must.Eq(t, "/2", body)
@@ -500,7 +500,7 @@
 	s, _ := startServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
 	c, caller, br := acceptUnserved(t, s)
 	send(t, caller, get("/"))
-	s.Leave()
+	s.DisableKeepAlive()
 	s.closeIdle()
 	go c.serve()
 	resp, body := readResponse(t, br)
@@ -527,7 +527,7 @@
 		}
 		_, _ = io.WriteString(w, "whole")
 	})
-	s.Leave()
+	s.DisableKeepAlive()
 	c, caller, br := acceptUnserved(t, s)
 	send(t, caller, get("/"))
 	x, err := c.next()
@@ -540,7 +540,7 @@
 
 func TestShutdownDoesNotResetAConnectionAfterItsLastResponse(t *testing.T) {
 	s, addr := startServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
-	s.Leave()
+	s.DisableKeepAlive()
 	c, br := dial(t, addr)
 	send(t, c, get("/"))
 	_, _ = readResponse(t, br)
--- a/transport/callers/slow_test.go
+++ b/transport/callers/slow_test.go
@@ -56,7 +56,7 @@
 // Guards against a reset of a connection whose caller is still receiving the last response.
 func TestSlowlyReadLastResponseArrivesComplete(t *testing.T) {
 	s, addr := startWithLimits(t, func() Limits { return Limits{IdleTimeout: time.Minute} }, serveLargeResponse)
-	s.Leave()
+	s.DisableKeepAlive()
 	c, br := dial(t, addr)
 	send(t, c, get("/1"))
 	readSlowly(t, c, br)
--- a/transport/listen/listen.go
+++ b/transport/listen/listen.go
@@ -34,22 +34,22 @@
 	accepted atomic.Bool   // a connection was accepted since the deadline was set
 	drained  chan struct{} // closed with the listener
 
-	closing  sync.Once
-	closeErr error
-	ending   atomic.Pointer[Ending]
+	closing    sync.Once
+	closeErr   error
+	closeState atomic.Pointer[CloseState]
 }
 
-// Ending describes the state in which a listener was closed.
-type Ending struct {
-	// SinceLook is the time between the check that found the backlog empty and the close;
+// CloseState describes the state in which a listener was closed.
+type CloseState struct {
+	// SinceEmpty is the time between the check that found the backlog empty and the close;
 	// 0 if the listener was closed without such a check.
-	SinceLook time.Duration
-	// Waiting is the size of the backlog at the close, which resets these connections.
-	Waiting int
+	SinceEmpty time.Duration
+	// Backlog is the size of the backlog at the close, which resets these connections.
+	Backlog int
 }
 
-// Ending returns the state in which the listener was closed; nil if it is open.
-func (l *Listener) Ending() *Ending { return l.ending.Load() }
+// CloseState returns the state in which the listener was closed; nil if it is open.
+func (l *Listener) CloseState() *CloseState { return l.closeState.Load() }
 
 // New returns a Listener that wraps l.
 func New(l net.Listener) *Listener { return &Listener{Listener: l, drained: make(chan struct{})} }
@@ -71,7 +71,7 @@
 			return nil, err
 		case !l.draining.Load() || !errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, err
-		case (l.expired.Load() || !l.accepted.Swap(false)) && !sockopt.Waiting(l.Listener):
+		case (l.expired.Load() || !l.accepted.Swap(false)) && !sockopt.HasBacklog(l.Listener):
 			// The deadline alone doesn't prove that no connection has arrived: this process may
 			// not have been scheduled. Connections that arrive between the check and the close
 			// are reset, so the close follows at once, on the same goroutine.
@@ -89,17 +89,17 @@
 	return l.closeErr
 }
 
-// close closes the listener, once, and records the Ending. emptyAt is when a check found the backlog
+// close closes the listener, once, and records the CloseState. emptyAt is when a check found the backlog
 // empty; zero if there was no such check.
 func (l *Listener) close(emptyAt time.Time) {
 	l.closing.Do(func() {
-		e := new(Ending)
+		e := new(CloseState)
 		if !emptyAt.IsZero() {
-			e.SinceLook = time.Since(emptyAt)
+			e.SinceEmpty = time.Since(emptyAt)
 		}
-		e.Waiting, _ = sockopt.Backlog(l.Listener) // 0 if unknown
+		e.Backlog, _ = sockopt.Backlog(l.Listener) // 0 if unknown
 		l.closeErr = l.Listener.Close()
-		l.ending.Store(e)
+		l.closeState.Store(e)
 		close(l.drained)
 	})
 }
@@ -120,7 +120,7 @@
 // backlog once ctx has ended, for finalDrainTimeout at most. The server must call Accept until it
 // returns an error. Drain returns net.ErrClosed if the listener is closed already.
 func (l *Listener) Drain(ctx context.Context) error {
-	if l.Ending() != nil {
+	if l.CloseState() != nil {
 		return net.ErrClosed
 	}
 	if _, ok := l.Listener.(deadliner); ok && l.draining.CompareAndSwap(false, true) {
--- a/transport/outbound/length_test.go
+++ b/transport/outbound/length_test.go
@@ -133,12 +133,12 @@
 func connect(t *testing.T, p *Proxy) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	s := callers.New(callers.Config{
-		Handler:   p,
-		Ahead:     4,
-		Limits:    func() callers.Limits { return callers.Limits{HeaderBytes: 1 << 10} },
-		RequestID: func(map[string][]string) string { return "id" },
-		Metrics:   metrics.NewSet(),
-		Logger:    log.NewNopLogger(),
+		Handler:       p,
+		PipelineDepth: 4,
+		Limits:        func() callers.Limits { return callers.Limits{HeaderBytes: 1 << 10} },
+		RequestID:     func(map[string][]string) string { return "id" },
+		Metrics:       metrics.NewSet(),
+		Logger:        log.NewNopLogger(),
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
--- a/transport/sockopt/sockopt.go
+++ b/transport/sockopt/sockopt.go
@@ -32,9 +32,9 @@
 	})
 }
 
-// Pending reports whether a connection has received bytes that were not read yet. It doesn't
+// HasUnread reports whether a connection has received bytes that were not read yet. It doesn't
 // block and doesn't consume them. It returns false for a connection without a socket.
-func Pending(conn net.Conn) bool {
+func HasUnread(conn net.Conn) bool {
 	return withDescriptor(conn, func(fd int) bool {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -42,9 +42,9 @@
 	})
 }
 
-// Waiting reports whether the listener's backlog holds a connection that is ready to be accepted.
+// HasBacklog reports whether the listener's backlog holds a connection that is ready to be accepted.
 // It doesn't block. It returns false for a listener without a socket.
-func Waiting(l net.Listener) bool {
+func HasBacklog(l net.Listener) bool {
 	return withDescriptor(l, func(fd int) bool {
 		for {
 			fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
@@ -69,9 +69,9 @@
 	return n, ok
 }
 
-// Unsent returns the size of a connection's send queue: the bytes that were written and that its
+// SendQueue returns the size of a connection's send queue: the bytes that were written and that its
 // peer hasn't acknowledged. ok is false if it can't be read.
-func Unsent(conn net.Conn) (n int, ok bool) {
+func SendQueue(conn net.Conn) (n int, ok bool) {
 	withDescriptor(conn, func(fd int) bool {
 		var err error
 		n, err = unix.IoctlGetInt(fd, unix.SIOCOUTQ)
