--- a/transport/callers/cut.go
+++ b/transport/callers/cut.go
@@ -16,7 +16,7 @@
 	cutCallerLeft cutCause = "caller-left"
 	// cutBroken: the handler aborted the response, or it couldn't be written.
 	cutBroken cutCause = "broken"
-	// cutBehind: an earlier response was truncated, which closed the connection.
+	// cutBehind: another response on the connection was truncated, which closed it.
 	cutBehind cutCause = "behind"
 	// cutShutdown: the time for a graceful shutdown ran out.
 	cutShutdown cutCause = "shutdown"
