--- a/transport/link/answered_test.go
+++ b/transport/link/answered_test.go
@@ -13,9 +13,10 @@
 	"github.com/jacinthgate/jacinthgate/transport/peer/memory"
 )
 
-// A peer that dials a node by its name tells what it remembers of it. One that
-// dials a seed, whose name it does not know, tells nothing.
-func TestHelloByNameIsAnAnswer(t *testing.T) {
+// A node that dials a peer by name sends, in its Hello, the version that it last
+// recorded for the peer. In a Hello to a seed, whose name is not known, the field
+// is not valid.
+func TestHelloToNamedNodeCarriesLastHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := memory.NewNetwork()
 		b := start(t, net.Transport("b", "b:1"), "b", nil)
@@ -28,11 +29,11 @@
 				}
 			})
 			a.Connect(to, "b:1")
-			up := next[core.PeerUp](t, b)
+			up := nextEvent[core.PeerUp](t, b)
 			must.Eq(t, to == "b", up.LastHeldValid)
 			must.Eq(t, 5, up.LastHeld)
 			must.False(t, up.Welcomed)
-			must.True(t, next[core.PeerUp](t, a).LastHeldValid)
+			must.True(t, nextEvent[core.PeerUp](t, a).LastHeldValid)
 		}
 	})
 }
--- a/transport/link/config.go
+++ b/transport/link/config.go
@@ -1,24 +1,26 @@
 // Package link manages a node's connections to its peers: it dials and accepts,
 // exchanges Hello and Welcome, keeps one connection for each peer, sends
-// messages within the byte budget and hands what arrives to the node's event
-// loop.
+// messages within the byte budget and passes received messages to the node's
+// event loop.
 //
 // # Events
 //
 // For each peer the events come in the order PeerUp, Received..., PeerDown. A
-// second PeerUp for a peer that is up brings newer facts about it: a dialled
-// connection may complete after the peer's own did, and only the dialling side
-// is Welcomed. Events wait in a bounded channel. When it is full, nothing more
-// is read from the peers, whose own queues then fill; no event is dropped.
+// further PeerUp for a connected peer carries newer information about it: a
+// connection dialled by this node may complete after one dialled by the peer,
+// and only the dialling side receives a Welcome. Events wait in a bounded
+// channel. While it is full, the manager reads nothing from the peers, whose
+// send queues then fill (backpressure). No event is dropped.
 //
-// # Two connections
+// # Simultaneous dials
 //
-// When two nodes dial each other at once, both connections come up. Both nodes
-// then send on the one dialled by the node with the lower key and go on reading
-// the other one until it is closed after the handshake timeout, so that nothing
-// is lost. Messages may cross while that lasts. A connection that comes too late
-// to have crossed, or from a newer incarnation, shows that the peer has lost
-// the old one: PeerDown and PeerUp follow.
+// When two nodes dial each other at once, both connections are established.
+// Both nodes then send on the one dialled by the node with the lower key. They
+// continue to read the other one until it is closed after the handshake timeout,
+// so that no message is lost. During that time messages may overtake one another.
+// A connection that is established too late to result from a simultaneous dial,
+// or that comes from a newer incarnation, shows that the peer has lost the old
+// one: PeerDown and PeerUp follow.
 package link
 
 import (
@@ -35,32 +37,33 @@
 
 // Config configures a Manager.
 type Config struct {
-	// Transport carries the messages. Its owner closes it after Run returned.
+	// Transport carries the messages. The caller closes it after Run has
+	// returned.
 	Transport peer.Transport
-	// Node is the own node.
+	// Node is this node.
 	Node model.NodeID
-	// Self returns the Hello for a connection that is being opened to a peer,
-	// whose name is empty for a seed. It is called from other goroutines than
+	// Self returns the Hello for a connection that is being opened to the node
+	// to, which is empty for a seed. It is called from goroutines other than
 	// the event loop.
 	Self func(to model.NodeID) message.Hello
-	// Welcome returns the answer to a Hello, or nil to refuse the peer for
-	// now. It is called from other goroutines than the event loop.
+	// Welcome returns the response to a Hello, or nil to refuse the peer for
+	// now. It is called from goroutines other than the event loop.
 	Welcome func(h *message.Hello) *message.Welcome
-	// Budget bounds the bytes sent. Hello and Welcome are not counted in it.
+	// Budget limits the bytes sent. Hello and Welcome do not count towards it.
 	Budget budget.Config
-	// Logger gets an event=peer_refused for each refused peer.
+	// Logger receives a line with event=peer_refused for each refused peer.
 	Logger log.Logger
-	// Metrics gets the counters and gauges. Each manager needs its own set.
+	// Metrics receives the counters and gauges. Each manager needs its own set.
 	Metrics *metrics.Set
-	// MaxPeers bounds the peers, and with them memory.
+	// MaxPeers limits the number of peers, and so the memory used.
 	MaxPeers int
-	// HandshakeTimeout bounds Hello and Welcome, and how long a superseded
-	// connection is still read.
+	// HandshakeTimeout limits the time to connect and to exchange Hello and
+	// Welcome, and is how long a superseded connection is still read.
 	HandshakeTimeout time.Duration
 	// SendTimeout is how long a peer may take to accept one message before
 	// its connection is closed.
 	SendTimeout time.Duration
-	// EventQueue is the number of events that wait for the event loop.
+	// EventQueue is the maximum number of events that wait for the event loop.
 	EventQueue int
 }
 
--- a/transport/link/errors.go
+++ b/transport/link/errors.go
@@ -9,23 +9,27 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// IdentityError refuses a peer that is not who it should be.
+// IdentityError reports a peer that was refused because its record, its
+// certificate and the dialled node do not agree, or its record names no node.
 type IdentityError struct {
-	// Claimed is the node that the peer's record names.
+	// Claimed is the node named in the peer's record.
 	Claimed model.NodeID
-	// Certificate is the node that its certificate names; empty without one.
+	// Certificate is the node named in the peer's certificate; empty without
+	// a certificate.
 	Certificate model.NodeID
-	// Dialled is the node that was dialled; empty when not known.
+	// Dialled is the node that was dialled; empty for a seed and for an
+	// accepted connection.
 	Dialled model.NodeID
 }
 
 // Error implements error.
 func (e *IdentityError) Error() string {
-	return fmt.Sprintf("peer claims to be node %q, its certificate says %q, dialled was %q",
+	return fmt.Sprintf("peer claims to be node %q, its certificate names %q, dialled node is %q",
 		e.Claimed, e.Certificate, e.Dialled)
 }
 
-// VersionError refuses a peer of another protocol version.
+// VersionError reports a peer that was refused because it uses another protocol
+// version.
 type VersionError struct {
 	// Have is the peer's version.
 	Have uint16
@@ -36,41 +40,45 @@
 	return fmt.Sprintf("protocol version %d: want %d", e.Have, message.ProtocolVersion)
 }
 
-// SelfError refuses a connection of the node to itself.
+// SelfError reports a connection of the node to itself, which was refused.
 type SelfError struct{}
 
 // Error implements error.
 func (*SelfError) Error() string { return "peer is this node itself" }
 
-// MaxPeersError refuses a peer beyond Config.MaxPeers.
+// MaxPeersError reports a peer that was refused because Config.MaxPeers are
+// connected.
 type MaxPeersError struct {
-	// Max is the bound.
+	// Max is the limit.
 	Max int
 }
 
 // Error implements error.
-func (e *MaxPeersError) Error() string { return fmt.Sprintf("%d peers are the most", e.Max) }
+func (e *MaxPeersError) Error() string { return fmt.Sprintf("limit of %d peers is reached", e.Max) }
 
-// StaleError refuses a connection of an earlier incarnation of a peer.
+// StaleError reports a connection that was refused because a newer incarnation
+// of the peer is connected.
 type StaleError struct {
-	// Have is the incarnation of the connection.
+	// Have is the incarnation of the refused connection.
 	Have uint64
-	// Known is the newer incarnation that is connected.
+	// Known is the newer incarnation, which is connected.
 	Known uint64
 }
 
 // Error implements error.
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("incarnation %d: %d is connected", e.Have, e.Known)
+	return fmt.Sprintf("incarnation %d is stale: %d is connected", e.Have, e.Known)
 }
 
-// NotWelcomeError refuses a peer that Config.Welcome did not answer.
+// NotWelcomeError reports a peer that was refused because Config.Welcome
+// returned nil.
 type NotWelcomeError struct{}
 
 // Error implements error.
-func (*NotWelcomeError) Error() string { return "peer is not admitted now" }
+func (*NotWelcomeError) Error() string { return "peer is not admitted at present" }
 
-// UnexpectedError refuses a message that has no place where it came.
+// UnexpectedError reports a message of a kind that is not allowed at that point
+// of the connection.
 type UnexpectedError struct {
 	// Kind is the message's kind.
 	Kind message.Kind
@@ -78,11 +86,11 @@
 
 // Error implements error.
 func (e *UnexpectedError) Error() string {
-	return fmt.Sprintf("message kind %d is not expected here", e.Kind)
+	return fmt.Sprintf("unexpected message of kind %d", e.Kind)
 }
 
-// refusalReason returns the stable name of a refusal for logs and metrics. It
-// is empty for an error that is no refusal, like the end of a connection.
+// refusalReason returns the name of a refusal in logs and metrics. It is empty
+// for an error that is not a refusal, such as a closed connection.
 func refusalReason(err error) string {
 	switch {
 	case is[*IdentityError](err):
@@ -110,11 +118,11 @@
 	}
 }
 
-// sizeRefusal is implemented by a transport's error for a message that is too
-// large.
+// sizeRefusal is implemented by the error that a transport returns for a message
+// of invalid size.
 type sizeRefusal interface {
 	error
-	// MessageSize returns the refused size in bytes.
+	// MessageSize returns the invalid size in bytes.
 	MessageSize() uint64
 }
 
--- a/transport/link/flush.go
+++ b/transport/link/flush.go
@@ -6,10 +6,10 @@
 	"github.com/jacinthgate/jacinthgate/transport/peer"
 )
 
-// Flush waits until no message waits to be sent, so that a node that shuts down
-// can tell its peers first. Messages handed to the transport may still be under
-// way: leave them a moment before the connections are closed. It returns ctx's
-// error, or peer.ErrClosed once the manager has stopped.
+// Flush waits until the send queue is empty, so that a node can notify its peers
+// before it shuts down. Messages already passed to the transport may still be in
+// flight, so the caller should wait briefly before it closes the connections.
+// Flush returns ctx's error, or peer.ErrClosed once the manager has stopped.
 func (m *Manager) Flush(ctx context.Context) error {
 	for {
 		progress := m.unsent()
@@ -26,8 +26,8 @@
 	}
 }
 
-// unsent returns nil when no message waits to be sent, or else a channel that
-// is closed when there may be fewer.
+// unsent returns nil if no message waits to be sent. Otherwise it returns a
+// channel that is closed when the number of waiting messages may have fallen.
 func (m *Manager) unsent() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -40,8 +40,8 @@
 	return m.progress
 }
 
-// progressLocked wakes those who wait in Flush.
-func (m *Manager) progressLocked() {
+// notifyFlushLocked wakes the callers that wait in Flush.
+func (m *Manager) notifyFlushLocked() {
 	if m.progress != nil {
 		close(m.progress)
 		m.progress = nil
--- a/transport/link/handshake.go
+++ b/transport/link/handshake.go
@@ -10,13 +10,13 @@
 	"github.com/jacinthgate/jacinthgate/transport/peer"
 )
 
-// open dials a node and exchanges Hello and Welcome.
+// open dials a node and completes the handshake.
 func (m *Manager) open(ctx context.Context, node model.NodeID, addr string) (*link, error) {
 	c, err := m.cfg.Transport.Dial(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	l, err := m.greet(ctx, c, node)
+	l, err := m.handshakeDialled(ctx, c, node)
 	if err != nil {
 		c.Close()
 		return nil, err
@@ -24,9 +24,10 @@
 	return l, nil
 }
 
-func (m *Manager) greet(ctx context.Context, c peer.Conn, node model.NodeID) (*link, error) {
+// handshakeDialled sends Hello on a dialled connection and reads the Welcome.
+func (m *Manager) handshakeDialled(ctx context.Context, c peer.Conn, node model.NodeID) (*link, error) {
 	hello := m.cfg.Self(node)
-	if err := m.sendNow(ctx, c, &hello); err != nil {
+	if err := m.sendUnqueued(ctx, c, &hello); err != nil {
 		return nil, err
 	}
 	msg, err := m.receive(ctx, c)
@@ -37,7 +38,7 @@
 	if !ok {
 		return nil, &UnexpectedError{Kind: msg.Kind()}
 	}
-	if err := m.check(c, node, w.Protocol, w.Record); err != nil {
+	if err := m.checkPeer(c, node, w.Protocol, w.Record); err != nil {
 		return nil, err
 	}
 	up := core.PeerUp{
@@ -48,8 +49,9 @@
 	return &link{conn: c, dialled: true, up: up}, nil
 }
 
-// answer reads the Hello of an accepted connection and sends the Welcome.
-func (m *Manager) answer(ctx context.Context, c peer.Conn) (*link, error) {
+// handshakeAccepted reads the Hello on an accepted connection and sends the
+// Welcome.
+func (m *Manager) handshakeAccepted(ctx context.Context, c peer.Conn) (*link, error) {
 	msg, err := m.receive(ctx, c)
 	if err != nil {
 		return nil, err
@@ -58,17 +60,17 @@
 	if !ok {
 		return nil, &UnexpectedError{Kind: msg.Kind()}
 	}
-	if err := m.check(c, "", h.Protocol, h.Record); err != nil {
+	if err := m.checkPeer(c, "", h.Protocol, h.Record); err != nil {
 		return nil, err
 	}
-	if err := m.checkRoom(h.Record.Node); err != nil {
+	if err := m.checkPeerLimit(h.Record.Node); err != nil {
 		return nil, err
 	}
 	w := m.cfg.Welcome(h)
 	if w == nil {
 		return nil, &NotWelcomeError{}
 	}
-	if err := m.sendNow(ctx, c, w); err != nil {
+	if err := m.sendUnqueued(ctx, c, w); err != nil {
 		return nil, err
 	}
 	up := core.PeerUp{
@@ -78,8 +80,9 @@
 	return &link{conn: c, up: up}, nil
 }
 
-// check refuses a peer of another protocol version or identity.
-func (m *Manager) check(c peer.Conn, dialled model.NodeID, protocol uint16, r endpoint.Record) error {
+// checkPeer returns an error for a peer that uses another protocol version, whose
+// identity does not match, or that is this node itself.
+func (m *Manager) checkPeer(c peer.Conn, dialled model.NodeID, protocol uint16, r endpoint.Record) error {
 	if protocol != message.ProtocolVersion {
 		return &VersionError{Have: protocol}
 	}
@@ -99,8 +102,9 @@
 	return nil
 }
 
-// checkRoom refuses a new peer when there are MaxPeers.
-func (m *Manager) checkRoom(node model.NodeID) error {
+// checkPeerLimit returns a *MaxPeersError if the node would be a new peer beyond
+// MaxPeers.
+func (m *Manager) checkPeerLimit(node model.NodeID) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.peers[node] == nil && len(m.peers) >= m.cfg.MaxPeers {
@@ -109,8 +113,8 @@
 	return nil
 }
 
-// sendNow sends a message past the queue.
-func (m *Manager) sendNow(ctx context.Context, c peer.Conn, msg message.Message) error {
+// sendUnqueued sends a message directly, outside the queue and its budget.
+func (m *Manager) sendUnqueued(ctx context.Context, c peer.Conn, msg message.Message) error {
 	payload, err := message.Encode(msg)
 	if err != nil {
 		return err
--- a/transport/link/kinds.go
+++ b/transport/link/kinds.go
@@ -2,7 +2,7 @@
 
 import "github.com/jacinthgate/jacinthgate/protocol/message"
 
-// kindNames are the names of the kinds in metrics.
+// kindNames maps each message kind to its name in metrics.
 var kindNames = map[message.Kind]string{
 	message.KindHello:          "hello",
 	message.KindWelcome:        "welcome",
@@ -31,6 +31,7 @@
 	message.KindEvacuations:    "evacuations",
 }
 
+// kindName returns the name of the kind in metrics.
 func kindName(k message.Kind) string {
 	if name := kindNames[k]; name != "" {
 		return name
@@ -38,8 +39,8 @@
 	return "unknown"
 }
 
-// replacementKey returns the key under which a newer message replaces a
-// waiting one, or "" for a message that must be sent in any case.
+// replacementKey returns the key under which a newer message replaces a queued
+// one, or "" for a message that must not be replaced.
 func replacementKey(m message.Message) string {
 	switch m := m.(type) {
 	case *message.Beacon:
--- a/transport/link/link_test.go
+++ b/transport/link/link_test.go
@@ -22,7 +22,7 @@
 	"github.com/jacinthgate/jacinthgate/transport/peer/memory"
 )
 
-// node is a manager under test with what it has reported.
+// node is a manager under test with its log, metrics and recorded events.
 type node struct {
 	*Manager
 	id      model.NodeID
@@ -34,8 +34,8 @@
 	events []string
 }
 
-// start runs a manager for the node id. change may adapt its configuration. The
-// node's events are recorded, unless pause is set.
+// start runs a manager for the node id until the test ends. change, if not nil,
+// adapts its configuration. Events are only read once record has been called.
 func start(t *testing.T, tr peer.Transport, id model.NodeID, change func(*Config)) *node {
 	n := &node{id: id, metrics: metrics.NewSet()}
 	record := endpoint.Record{Node: id, Incarnation: 1, PeerAddr: tr.Addr()}
@@ -67,7 +67,7 @@
 	return n
 }
 
-// record collects events until the test ends.
+// record starts to read and record events, until the test ends.
 func (n *node) record(t *testing.T) *node {
 	go func() {
 		for {
@@ -84,6 +84,7 @@
 	return n
 }
 
+// describe returns a short text for an event.
 func describe(e core.Event) string {
 	switch e := e.(type) {
 	case core.PeerUp:
@@ -104,8 +105,9 @@
 	return "?"
 }
 
-// got returns what was recorded since the last call, once all is quiet.
-func (n *node) got() []string {
+// takeEvents returns the events recorded since the last call, once all goroutines
+// of the bubble are blocked.
+func (n *node) takeEvents() []string {
 	synctest.Wait()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -128,13 +130,14 @@
 	return total
 }
 
+// fetch returns a message that the given version identifies in describe.
 func fetch(version uint64) *message.Fetch {
 	f := new(message.Fetch)
 	f.Have.Version = version
 	return f
 }
 
-// pair starts the nodes a and b.
+// pair starts the nodes a and b with recorded events.
 func pair(t *testing.T) (net *memory.Network, a, b *node) {
 	net = memory.NewNetwork()
 	a = start(t, net.Transport("a", "a:1"), "a", nil).record(t)
@@ -146,22 +149,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, a, b := pair(t)
 		a.Connect("b", "b:1")
-		must.Eq(t, []string{"welcomed b 7"}, a.got())
-		must.Eq(t, []string{"up a"}, b.got())
+		must.Eq(t, []string{"welcomed b 7"}, a.takeEvents())
+		must.Eq(t, []string{"up a"}, b.takeEvents())
 		a.Connect("b", "b:1")
-		must.Eq(t, []string{"welcomed b 7"}, a.got())
+		must.Eq(t, []string{"welcomed b 7"}, a.takeEvents())
 		must.NoError(t, a.Send("b", message.Normal, fetch(1)))
 		must.NoError(t, b.Send("a", message.Urgent, &message.Advert{}))
 		must.NoError(t, a.Send("nobody", message.Normal, fetch(2)))
-		must.Eq(t, []string{"fetch 1"}, b.got())
-		must.Eq(t, []string{fmt.Sprint("kind ", message.KindAdvert)}, a.got())
+		must.Eq(t, []string{"fetch 1"}, b.takeEvents())
+		must.Eq(t, []string{fmt.Sprint("kind ", message.KindAdvert)}, a.takeEvents())
 		must.Eq(t, 1, a.counter(`jacinthgate_link_dropped_total{reason="not_connected"}`))
 		must.Greater(t, 0, b.counter(`jacinthgate_link_bytes_total{direction="in",kind="fetch"}`))
 		b.Disconnect("a")
-		must.Eq(t, []string{"down b"}, a.got())
-		must.Eq(t, []string{"down a"}, b.got())
+		must.Eq(t, []string{"down b"}, a.takeEvents())
+		must.Eq(t, []string{"down a"}, b.takeEvents())
 		a.Connect("b", "nowhere:1")
-		must.Eq(t, []string{"failed b"}, a.got())
+		must.Eq(t, []string{"failed b"}, a.takeEvents())
 	})
 }
 
@@ -179,7 +182,7 @@
 			time.Sleep(2 * defaultHandshakeTimeout / messages)
 		}
 		for _, n := range []*node{a, b} {
-			events := strings.Join(n.got(), "\n")
+			events := strings.Join(n.takeEvents(), "\n")
 			must.Eq(t, messages, strings.Count(events, "fetch"))
 			must.Eq(t, 0, strings.Count(events, "down"))
 			must.Eq(t, 1, strings.Count(events, "welcomed"))
@@ -191,48 +194,48 @@
 	})
 }
 
-func TestPeerThatLostTheConnectionReturns(t *testing.T) {
+func TestReconnectReplacesLostConnection(t *testing.T) {
 	for _, incarnation := range []uint64{1, 2} {
 		synctest.Test(t, func(t *testing.T) {
 			net, a, b := pair(t)
 			a.Connect("b", "b:1")
-			must.Eq(t, []string{"up a"}, b.got())
+			must.Eq(t, []string{"up a"}, b.takeEvents())
 			if incarnation == 1 {
-				time.Sleep(crossingTimeouts*defaultHandshakeTimeout + 1)
+				time.Sleep(simultaneousDialTimeouts*defaultHandshakeTimeout + 1)
 			}
-			again := start(t, net.Transport("a", "a:2"), "a", func(cfg *Config) {
+			restarted := start(t, net.Transport("a", "a:2"), "a", func(cfg *Config) {
 				self := cfg.Self("")
 				self.Record.Incarnation = incarnation
 				cfg.Self = func(model.NodeID) message.Hello { return self }
 			}).record(t)
-			again.Connect("b", "b:1")
-			must.Eq(t, []string{"welcomed b 7"}, again.got())
-			must.Eq(t, []string{"down a", "up a"}, b.got())
+			restarted.Connect("b", "b:1")
+			must.Eq(t, []string{"welcomed b 7"}, restarted.takeEvents())
+			must.Eq(t, []string{"down a", "up a"}, b.takeEvents())
 			must.NoError(t, b.Send("a", message.Normal, fetch(1)))
-			must.Eq(t, []string{"fetch 1"}, again.got())
+			must.Eq(t, []string{"fetch 1"}, restarted.takeEvents())
 			if incarnation == 2 {
 				a.Connect("b", "b:1")
-				must.Eq(t, "down b", a.got()[1])
+				must.Eq(t, "down b", a.takeEvents()[1])
 				must.StrContains(t, b.log.String(), "event=peer_refused reason=stale")
 			}
 		})
 	}
 }
 
-func TestCutEndsAndHeals(t *testing.T) {
+func TestCutEndsConnectionUntilHealed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net, a, b := pair(t)
 		a.Connect("b", "b:1")
 		synctest.Wait()
 		net.Cut([]string{"a:1"}, []string{"b:1"})
 		time.Sleep(memory.DefaultIdleTimeout)
-		must.Eq(t, []string{"welcomed b 7", "down b"}, a.got())
+		must.Eq(t, []string{"welcomed b 7", "down b"}, a.takeEvents())
 		a.Connect("b", "b:1")
 		time.Sleep(defaultHandshakeTimeout)
-		must.Eq(t, []string{"failed b"}, a.got())
+		must.Eq(t, []string{"failed b"}, a.takeEvents())
 		net.Heal([]string{"a:1"}, []string{"b:1"})
 		a.Connect("b", "b:1")
-		must.Eq(t, []string{"up a", "down a", "up a"}, b.got())
+		must.Eq(t, []string{"up a", "down a", "up a"}, b.takeEvents())
 	})
 }
 
@@ -267,7 +270,7 @@
 			a := start(t, net.Transport("a", "a:1"), "a", test.change).record(t)
 			b := start(t, net.Transport("b", "b:1"), "b", test.peerChange).record(t)
 			a.Connect(test.dialled, "b:1")
-			must.Eq(t, []string{"failed " + string(test.dialled)}, a.got())
+			must.Eq(t, []string{"failed " + string(test.dialled)}, a.takeEvents())
 			refusing := b
 			if test.byDialler {
 				refusing = a
@@ -290,16 +293,16 @@
 		synctest.Test(t, func(t *testing.T) {
 			_, a, b := pair(t)
 			a.Connect("b", "b:1")
-			must.Len(t, 1, a.got())
+			must.Len(t, 1, a.takeEvents())
 			must.NoError(t, a.peers["b"].conns[0].conn.Send(t.Context(), payload))
-			must.Eq(t, []string{"up a", "down a"}, b.got())
-			must.Eq(t, []string{"down b"}, a.got())
+			must.Eq(t, []string{"up a", "down a"}, b.takeEvents())
+			must.Eq(t, []string{"down b"}, a.takeEvents())
 			must.StrContains(t, b.log.String(), "event=peer_refused reason="+reason+" node=a")
 		})
 	}
 }
 
-func TestSlowEventLoopLosesNothingSilently(t *testing.T) {
+func TestSlowEventLoopCountsEveryDrop(t *testing.T) {
 	const messages = 1000
 	synctest.Test(t, func(t *testing.T) {
 		net := memory.NewNetwork()
@@ -315,7 +318,7 @@
 		synctest.Wait()
 		dropped := a.counter(`jacinthgate_link_dropped_total{reason="queue_full"}`)
 		must.Between(t, 1, dropped, messages)
-		events := strings.Join(b.record(t).got(), "\n")
+		events := strings.Join(b.record(t).takeEvents(), "\n")
 		must.Eq(t, messages-dropped, strings.Count(events, "fetch"))
 		must.Eq(t, 1, strings.Count(events, fmt.Sprint("kind ", message.KindBeacon)))
 		must.Eq(t, 0, strings.Count(events, "down"))
@@ -329,7 +332,7 @@
 			cfg.Budget.BytesPerSecond, cfg.Budget.Burst = 1, 100
 		}).record(t)
 		c.Connect("b", "b:1")
-		must.Len(t, 1, c.got())
+		must.Len(t, 1, c.takeEvents())
 		must.NoError(t, c.Flush(t.Context()))
 		for range 3 {
 			must.NoError(t, c.Send("b", message.Normal, &message.Delta{Body: make([]byte, 80)}))
@@ -338,15 +341,15 @@
 		defer cancel()
 		must.ErrorIs(t, c.Flush(ctx), context.DeadlineExceeded)
 		must.NoError(t, c.Flush(t.Context()))
-		must.Len(t, 4, b.got())
+		must.Len(t, 4, b.takeEvents())
 		must.NoError(t, c.Send("b", message.Normal, &message.Delta{Body: make([]byte, 80)}))
 		time.AfterFunc(time.Second, func() { c.Disconnect("b") })
 		must.NoError(t, c.Flush(t.Context()))
-		must.Eq(t, []string{"down c"}, b.got())
+		must.Eq(t, []string{"down c"}, b.takeEvents())
 	})
 }
 
-func TestPeerThatTakesNothingIsDropped(t *testing.T) {
+func TestPeerThatAcceptsNothingIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := memory.NewNetwork()
 		a := start(t, net.Transport("a", "a:1"), "a", nil).record(t)
@@ -356,9 +359,9 @@
 		for i := range 200 {
 			must.NoError(t, a.Send("b", message.Normal, fetch(uint64(i))))
 		}
-		must.Eq(t, []string{"welcomed b 7"}, a.got())
+		must.Eq(t, []string{"welcomed b 7"}, a.takeEvents())
 		time.Sleep(defaultSendTimeout)
-		must.Eq(t, []string{"down b"}, a.got())
+		must.Eq(t, []string{"down b"}, a.takeEvents())
 		must.Greater(t, 0, a.counter(`jacinthgate_link_dropped_total{reason="disconnected"}`))
 	})
 }
--- a/transport/link/manager.go
+++ b/transport/link/manager.go
@@ -12,17 +12,17 @@
 	"github.com/jacinthgate/jacinthgate/transport/peer"
 )
 
-// maxHandshakes bounds the handshakes of accepted connections at one time, so
-// that a storm of joiners waits in the transport and not in memory.
+// maxHandshakes limits the concurrent handshakes of accepted connections, so that
+// a burst of joining nodes waits in the transport's backlog and not in memory.
 const maxHandshakes = 16
 
-// Manager holds the connections of one node. Its methods are safe for
-// concurrent use and do not block on peers.
+// Manager manages the connections of one node. Its methods are safe for
+// concurrent use. Except for Run and Flush they do not block on peers.
 type Manager struct {
 	cfg    Config
 	meter  meter
 	events chan core.Event
-	// wake tells the sender that the queue or a peer changed.
+	// wake signals the sender that the queue or a peer has changed.
 	wake chan struct{}
 	ctx  context.Context
 	stop context.CancelFunc
@@ -32,15 +32,15 @@
 	dialing map[string]bool
 	queue   *budget.Scheduler
 	closed  bool
-	// writing counts the messages that the peers' writers hold; progress is
-	// not nil while Flush waits.
+	// writing is the number of messages that the peers' writers hold. progress
+	// is closed to wake Flush, and not nil only while Flush waits.
 	writing  int
 	progress chan struct{}
 	tasks    sync.WaitGroup
 }
 
-// New returns a manager. It does nothing before Run, except that Connect
-// already dials.
+// New returns a manager. Before Run it neither accepts connections nor sends
+// queued messages, but Connect already dials.
 func New(cfg Config) *Manager {
 	ctx, stop := context.WithCancel(context.Background())
 	m := &Manager{
@@ -63,7 +63,7 @@
 
 // Run accepts connections and sends messages until ctx ends. It then closes
 // all connections and waits for its goroutines. It returns ctx's error, or the
-// transport's when that fails.
+// transport's if the transport fails.
 func (m *Manager) Run(ctx context.Context) error {
 	unhook := context.AfterFunc(ctx, m.stop)
 	defer unhook()
@@ -77,6 +77,7 @@
 	return err
 }
 
+// shutdown closes all connections and waits for the goroutines.
 func (m *Manager) shutdown() {
 	m.mu.Lock()
 	m.closed = true
@@ -97,7 +98,7 @@
 	}
 }
 
-// emit hands an event to the event loop and waits until it has room.
+// emit queues an event for the event loop. It waits while the queue is full.
 func (m *Manager) emit(e core.Event) {
 	select {
 	case m.events <- e:
@@ -105,10 +106,10 @@
 	}
 }
 
-// Connect dials a peer; node is empty for a seed whose name is not known. The
-// answer is a PeerUp or a DialFailed event. A peer that is connected already
-// is not dialled: its PeerUp is repeated. A dial to the same address that is
-// under way answers both.
+// Connect dials a peer. node is empty for a seed, whose name is not yet known.
+// The result is a PeerUp or a DialFailed event. A peer that is already connected
+// is not dialled; its PeerUp is emitted again. If a dial to the same address is
+// in progress, its event is the result of both calls.
 func (m *Manager) Connect(node model.NodeID, addr string) {
 	m.mu.Lock()
 	r := m.peers[node]
@@ -120,13 +121,13 @@
 	m.mu.Unlock()
 	switch {
 	case connected:
-		m.goTask(func() { m.repeatUp(r) })
+		m.goTask(func() { m.reemitUp(r) })
 	case !pending:
 		m.goTask(func() { m.dial(node, addr) })
 	}
 }
 
-// Disconnect closes the connections to a peer. A PeerDown follows.
+// Disconnect closes the connections to a peer. A PeerDown event follows.
 func (m *Manager) Disconnect(node model.NodeID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -135,9 +136,9 @@
 	}
 }
 
-// Send queues a message for a peer. It is dropped, and counted as dropped, when
-// the peer is not connected or its queue is full of more urgent messages. The
-// error is message.Encode's.
+// Send queues a message for a peer. The message is dropped, and counted as
+// dropped, if the peer is not connected or its queue is full of more urgent
+// messages. Send only returns an error if the message can't be encoded.
 func (m *Manager) Send(to model.NodeID, priority message.Priority, msg message.Message) error {
 	payload, err := message.Encode(msg)
 	if err != nil {
@@ -154,19 +155,19 @@
 	dropped := m.queue.Push(item)
 	m.mu.Unlock()
 	m.meter.dropped("queue_full", len(dropped))
-	m.notify()
+	m.wakeSender()
 	return nil
 }
 
-// notify wakes the sender.
-func (m *Manager) notify() {
+// wakeSender wakes the sender. It does not block.
+func (m *Manager) wakeSender() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// acceptAll takes connections from the transport until the manager stops.
+// acceptAll accepts connections until the manager stops or the transport fails.
 func (m *Manager) acceptAll() error {
 	slots := make(chan struct{}, maxHandshakes)
 	for {
@@ -183,45 +184,47 @@
 	}
 }
 
-// dial opens a connection and serves it until it ends.
+// dial opens a connection and serves it until it ends. It emits DialFailed if
+// the connection can't be opened.
 func (m *Manager) dial(node model.NodeID, addr string) {
 	ctx, cancel := context.WithTimeout(m.ctx, m.cfg.HandshakeTimeout)
 	l, err := m.open(ctx, node, addr)
 	cancel()
 	if err == nil {
-		err = m.join(l)
+		err = m.addLink(l)
 	}
 	m.mu.Lock()
 	delete(m.dialing, addr)
 	m.mu.Unlock()
 	if err != nil {
-		m.refuse(node, addr, err)
+		m.recordRefusal(node, addr, err)
 		m.emit(core.DialFailed{Node: node, Addr: addr})
 		return
 	}
 	m.serve(l)
 }
 
-// accept answers a Hello and serves the connection until it ends. It calls
-// release after the handshake.
+// accept completes the handshake of an accepted connection and serves the
+// connection until it ends. It calls release after the handshake.
 func (m *Manager) accept(c peer.Conn, release func()) {
 	ctx, cancel := context.WithTimeout(m.ctx, m.cfg.HandshakeTimeout)
-	l, err := m.answer(ctx, c)
+	l, err := m.handshakeAccepted(ctx, c)
 	cancel()
 	if err == nil {
-		err = m.join(l)
+		err = m.addLink(l)
 	}
 	release()
 	if err != nil {
 		c.Close()
-		m.refuse(c.Peer(), c.RemoteAddr(), err)
+		m.recordRefusal(c.Peer(), c.RemoteAddr(), err)
 		return
 	}
 	m.serve(l)
 }
 
-// refuse logs and counts a refused peer. The end of a connection is none.
-func (m *Manager) refuse(node model.NodeID, addr string, err error) {
+// recordRefusal logs and counts a refused peer. It ignores errors that are not a
+// refusal, such as a closed connection.
+func (m *Manager) recordRefusal(node model.NodeID, addr string, err error) {
 	reason := refusalReason(err)
 	if reason == "" {
 		return
--- a/transport/link/metrics.go
+++ b/transport/link/metrics.go
@@ -8,12 +8,13 @@
 	"github.com/jacinthgate/jacinthgate/protocol/message"
 )
 
-// meter counts what the manager does.
+// meter holds the metrics of a manager.
 type meter struct {
 	set *metrics.Set
 }
 
-// newMeter registers the gauges, which read the manager's state.
+// newMeter returns a meter and registers the gauges, which read the manager's
+// state when they are scraped.
 func newMeter(m *Manager) meter {
 	set := m.cfg.Metrics
 	set.NewGauge("jacinthgate_link_peers", func() float64 {
@@ -38,7 +39,8 @@
 	return meter{set: set}
 }
 
-// bytes counts one encoded message; its first byte is the kind.
+// bytes counts the bytes of an encoded message under its kind, which is the first
+// byte.
 func (mt meter) bytes(direction string, encoded []byte) {
 	kind := "unknown"
 	if len(encoded) > 0 {
@@ -48,7 +50,7 @@
 	mt.set.GetOrCreateCounter(name).Add(len(encoded))
 }
 
-// dropped counts messages that were not sent.
+// dropped counts n messages that were not sent.
 func (mt meter) dropped(reason string, n int) {
 	mt.set.GetOrCreateCounter(fmt.Sprintf("jacinthgate_link_dropped_total{reason=%q}", reason)).Add(n)
 }
--- a/transport/link/quic_test.go
+++ b/transport/link/quic_test.go
@@ -33,8 +33,8 @@
 	return tr
 }
 
-// next returns the next event, which must be of type E.
-func next[E core.Event](t *testing.T, n *node) E {
+// nextEvent returns the next event, which must be of type E.
+func nextEvent[E core.Event](t *testing.T, n *node) E {
 	t.Helper()
 	select {
 	case e := <-n.Events():
@@ -53,18 +53,18 @@
 	trA, trB := listen(t, dir, "node-a"), listen(t, dir, "node-b")
 	a, b := start(t, trA, "node-a", nil), start(t, trB, "node-b", nil)
 	a.Connect("node-b", trB.Addr())
-	must.True(t, next[core.PeerUp](t, a).Welcomed)
-	must.False(t, next[core.PeerUp](t, b).Welcomed)
+	must.True(t, nextEvent[core.PeerUp](t, a).Welcomed)
+	must.False(t, nextEvent[core.PeerUp](t, b).Welcomed)
 	body := make([]byte, message.MaxSize/2)
 	must.NoError(t, b.Send("node-a", message.Normal, &message.Full{Body: body}))
-	full := next[core.Received](t, a).Message.(*message.Full)
+	full := nextEvent[core.Received](t, a).Message.(*message.Full)
 	must.Eq(t, len(body), len(full.Body))
 
-	// The certificate says node-a, the record another node.
+	// The peer's certificate names node-c, but its record names node-d.
 	impostor := start(t, listen(t, dir, "node-c"), "node-d", nil)
 	impostor.Connect("node-b", trB.Addr())
-	next[core.DialFailed](t, impostor)
+	nextEvent[core.DialFailed](t, impostor)
 
 	a.stop()
-	must.Eq(t, "node-a", string(next[core.PeerDown](t, b).Node))
+	must.Eq(t, "node-a", string(nextEvent[core.PeerDown](t, b).Node))
 }
--- a/transport/link/remote.go
+++ b/transport/link/remote.go
@@ -9,18 +9,21 @@
 	"github.com/jacinthgate/jacinthgate/transport/peer"
 )
 
-// crossingTimeouts is how many handshake timeouts may lie between two
-// connections that were dialled by both sides at once: one for each handshake.
-const crossingTimeouts = 2
+// simultaneousDialTimeouts is the maximum time, in handshake timeouts, between
+// the completion of two connections that both sides dialled at once: one timeout
+// for each handshake.
+const simultaneousDialTimeouts = 2
 
-// link is one connection after the handshake.
+// link is a connection that has completed the handshake.
 type link struct {
 	conn peer.Conn
 	// dialled is set when this node opened the connection.
 	dialled bool
-	up      core.PeerUp
-	remote  *remote
-	// since is when the handshake was complete.
+	// up is the PeerUp event with the peer's data from the handshake.
+	up core.PeerUp
+	// remote is the peer; set when the link is registered.
+	remote *remote
+	// since is when the link was registered, after the handshake.
 	since time.Time
 }
 
@@ -30,29 +33,31 @@
 	node model.NodeID
 	// conns are the open connections, oldest first.
 	conns []*link
-	// up is the newest PeerUp event.
+	// up is the most recent PeerUp event.
 	up core.PeerUp
 	// closing is set when the last connection has ended.
 	closing bool
-	// announced is closed after the first PeerUp was emitted.
-	announced chan struct{}
-	// gone is closed after PeerDown was emitted.
-	gone chan struct{}
-	// out holds the message that the writer sends next; written is closed
+	// upEmitted is closed after the first PeerUp was emitted.
+	upEmitted chan struct{}
+	// removed is closed after PeerDown was emitted and the peer was removed.
+	removed chan struct{}
+	// out holds the message that the writer sends next. writerDone is closed
 	// when the writer has ended.
-	out     chan []byte
-	written chan struct{}
+	out        chan []byte
+	writerDone chan struct{}
 }
 
+// closeAll closes the peer's connections without waiting.
 func (r *remote) closeAll() {
 	for _, l := range r.conns {
-		// Closing may have to wait for the transport's own locks.
+		// Close may wait for the transport's locks, and the caller holds
+		// Manager.mu.
 		go l.conn.Close()
 	}
 }
 
-// preferred returns the connection to send on: the newest of those dialled by
-// the node with the lower key, or else the newest.
+// preferred returns the connection to send on: the newest one dialled by the
+// node with the lower key, or else the newest. It is nil without connections.
 func (r *remote) preferred(self model.NodeID) *link {
 	selfDials := self.Key() < r.node.Key()
 	var best *link
@@ -64,9 +69,10 @@
 	return best
 }
 
-// join adds a connection to its peer and emits PeerUp where that is news. The
-// errors are *MaxPeersError and *StaleError.
-func (m *Manager) join(l *link) error {
+// addLink adds a connection to its peer. It emits PeerUp if the peer is new or
+// the connection received a Welcome. The error is a *MaxPeersError or a
+// *StaleError, or shows that the manager has stopped.
+func (m *Manager) addLink(l *link) error {
 	for {
 		r, first, wait, err := m.register(l)
 		if err != nil {
@@ -82,14 +88,15 @@
 				return m.ctx.Err()
 			}
 		}
-		m.announce(r, l, first)
+		m.emitUp(r, l, first)
 		return nil
 	}
 }
 
-// register adds the connection under the lock. A peer that is ending, or that
-// the new connection shows to have lost the old one, has to be gone first: wait
-// is then closed when it is.
+// register adds the connection under the lock; first is set if the peer is new.
+// If the existing peer is closing, or the new connection shows that it has lost
+// the old one, it must be removed first: nothing is added then, and wait is
+// closed once the caller may try again.
 func (m *Manager) register(l *link) (r *remote, first bool, wait <-chan struct{}, err error) {
 	record := l.up.Record
 	m.mu.Lock()
@@ -104,11 +111,11 @@
 		}
 		r = m.addRemote(record.Node)
 		first = true
-	} else if known := r.up.Record.Incarnation; known > record.Incarnation {
-		return nil, false, nil, &StaleError{Have: record.Incarnation, Known: known}
-	} else if r.closing || known < record.Incarnation || m.tooLateToCross(r) {
+	} else if current := r.up.Record.Incarnation; current > record.Incarnation {
+		return nil, false, nil, &StaleError{Have: record.Incarnation, Known: current}
+	} else if r.closing || current < record.Incarnation || m.tooLateForSimultaneousDial(r) {
 		r.closeAll()
-		return nil, false, r.gone, nil
+		return nil, false, r.removed, nil
 	}
 	l.remote = r
 	l.since = time.Now()
@@ -116,37 +123,39 @@
 	if first || l.up.Welcomed {
 		r.up = l.up
 	}
-	m.retire(r)
+	m.closeSuperseded(r)
 	return r, first, nil, nil
 }
 
-// tooLateToCross reports that a new connection can't have been dialled while
-// the peer's present one was under way. The other side has then lost the
-// present one, and messages with it.
-func (m *Manager) tooLateToCross(r *remote) bool {
+// tooLateForSimultaneousDial reports whether the peer's newest connection is too
+// old for a new one to result from a simultaneous dial. The other side has then
+// lost the existing connection, and messages with it.
+func (m *Manager) tooLateForSimultaneousDial(r *remote) bool {
 	newest := r.conns[len(r.conns)-1]
-	return time.Since(newest.since) > crossingTimeouts*m.cfg.HandshakeTimeout
+	return time.Since(newest.since) > simultaneousDialTimeouts*m.cfg.HandshakeTimeout
 }
 
+// addRemote adds a peer and starts its writer.
 func (m *Manager) addRemote(node model.NodeID) *remote {
 	r := &remote{
-		node:      node,
-		announced: make(chan struct{}),
-		gone:      make(chan struct{}),
-		out:       make(chan []byte, 1),
-		written:   make(chan struct{}),
+		node:       node,
+		upEmitted:  make(chan struct{}),
+		removed:    make(chan struct{}),
+		out:        make(chan []byte, 1),
+		writerDone: make(chan struct{}),
 	}
 	m.peers[node] = r
 	m.tasks.Go(func() {
-		defer close(r.written)
+		defer close(r.writerDone)
 		m.writeAll(r)
 	})
 	return r
 }
 
-// retire closes the connections that are not preferred, after the time that a
-// handshake of the other side may still take.
-func (m *Manager) retire(r *remote) {
+// closeSuperseded closes the connections that are not preferred. It waits for the
+// handshake timeout first, as the other side may still complete its handshake
+// and send on them until then.
+func (m *Manager) closeSuperseded(r *remote) {
 	keep := r.preferred(m.cfg.Node)
 	for _, l := range r.conns {
 		if l != keep {
@@ -155,15 +164,17 @@
 	}
 }
 
-// announce emits the PeerUp of a connection, after the peer's first one.
-func (m *Manager) announce(r *remote, l *link, first bool) {
+// emitUp emits the PeerUp of a connection, unless the peer is already up and the
+// connection received no Welcome. It waits until the peer's first PeerUp was
+// emitted.
+func (m *Manager) emitUp(r *remote, l *link, first bool) {
 	if first {
 		m.emit(l.up)
-		close(r.announced)
+		close(r.upEmitted)
 		return
 	}
 	select {
-	case <-r.announced:
+	case <-r.upEmitted:
 	case <-m.ctx.Done():
 	}
 	if l.up.Welcomed {
@@ -171,10 +182,11 @@
 	}
 }
 
-// repeatUp emits the PeerUp of a connected peer again.
-func (m *Manager) repeatUp(r *remote) {
+// reemitUp emits the PeerUp of a connected peer again, or DialFailed if the peer
+// is closing.
+func (m *Manager) reemitUp(r *remote) {
 	select {
-	case <-r.announced:
+	case <-r.upEmitted:
 	case <-m.ctx.Done():
 		return
 	}
@@ -188,14 +200,16 @@
 	m.emit(up)
 }
 
-// serve reads the connection until it ends.
+// serve reads the connection until it ends, then removes it.
 func (m *Manager) serve(l *link) {
 	err := m.readAll(l)
 	l.conn.Close()
-	m.refuse(l.remote.node, l.conn.RemoteAddr(), err)
-	m.leave(l)
+	m.recordRefusal(l.remote.node, l.conn.RemoteAddr(), err)
+	m.removeLink(l)
 }
 
+// readAll emits a Received event for each message. It returns the error that
+// ends the connection.
 func (m *Manager) readAll(l *link) error {
 	for {
 		msg, err := m.receive(m.ctx, l.conn)
@@ -209,8 +223,9 @@
 	}
 }
 
-// leave removes an ended connection. With the last one the peer is down.
-func (m *Manager) leave(l *link) {
+// removeLink removes an ended connection. If it was the peer's last one, it also
+// drops the peer's queued messages, emits PeerDown and removes the peer.
+func (m *Manager) removeLink(l *link) {
 	r := l.remote
 	m.mu.Lock()
 	for i, other := range r.conns {
@@ -225,17 +240,17 @@
 		r.closing = true
 		unsent = m.queue.Remove(r.node)
 		close(r.out)
-		m.progressLocked()
+		m.notifyFlushLocked()
 	}
 	m.mu.Unlock()
 	if !last {
 		return
 	}
 	m.meter.dropped("disconnected", unsent)
-	<-r.written
+	<-r.writerDone
 	m.emit(core.PeerDown{Node: r.node})
 	m.mu.Lock()
 	delete(m.peers, r.node)
 	m.mu.Unlock()
-	close(r.gone)
+	close(r.removed)
 }
--- a/transport/link/sender.go
+++ b/transport/link/sender.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// sendAll hands waiting messages to the peers' writers as the budget allows,
-// one at a time for each peer.
+// sendAll passes queued messages to the peers' writers as the budget allows, one
+// at a time for each peer, until the manager stops.
 func (m *Manager) sendAll() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -26,8 +26,8 @@
 	}
 }
 
-// dispatch hands out all messages that may be sent now. It returns the time
-// until the budget allows the next one, or 0.
+// dispatch passes all messages that may be sent now to the writers. It returns
+// the time until the budget allows the next one, or 0 if no message waits.
 func (m *Manager) dispatch() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -39,11 +39,11 @@
 		r := m.peers[item.Peer]
 		m.queue.Block(item.Peer)
 		m.writing++
-		r.out <- item.Payload // has room: the peer was not blocked
+		r.out <- item.Payload // does not block: an unblocked peer's writer holds no message
 	}
 }
 
-// writeAll sends the messages of one peer until the peer is down.
+// writeAll sends the messages of one peer until its out channel is closed.
 func (m *Manager) writeAll(r *remote) {
 	for payload := range r.out {
 		if m.write(r, payload) {
@@ -54,14 +54,15 @@
 		m.mu.Lock()
 		m.queue.Unblock(r.node)
 		m.writing--
-		m.progressLocked()
+		m.notifyFlushLocked()
 		m.mu.Unlock()
-		m.notify()
+		m.wakeSender()
 	}
 }
 
-// write sends one message on the preferred connection, and on the next one
-// when that fails.
+// write sends one message on the preferred connection. If that fails, it closes
+// the connection and tries the one that is preferred then. It reports whether
+// the message was sent.
 func (m *Manager) write(r *remote, payload []byte) bool {
 	var failed *link
 	for {
--- a/transport/peer/memory/conn.go
+++ b/transport/peer/memory/conn.go
@@ -11,33 +11,37 @@
 	"github.com/jacinthgate/jacinthgate/transport/peer"
 )
 
-// queueLength is the number of messages in flight in one direction before Send
-// blocks.
+// queueLength is the number of messages that may be in flight in one direction
+// before Send blocks.
 const queueLength = 64
 
-// pipe is one connection with its two ends.
+// pipe is a connection with its two ends.
 type pipe struct {
 	net      *Network
 	dialled  *conn
 	accepted *conn
 	done     chan struct{}
 	once     sync.Once
-	// expiry closes the pipe when a cut lasts; guarded by net.mu.
+	// expiry closes the pipe once its link has been cut for the idle timeout.
+	// It is nil while the link is not cut, and guarded by net.mu.
 	expiry *time.Timer
 }
 
+// newPipe connects two transports and registers the pipe with them and with the
+// network.
 func newPipe(from, to *Transport) *pipe {
 	p := &pipe{net: from.net, done: make(chan struct{})}
-	there := make(chan []byte, queueLength)
-	back := make(chan []byte, queueLength)
-	p.dialled = &conn{pipe: p, local: from, remote: to, in: back, out: there}
-	p.accepted = &conn{pipe: p, local: to, remote: from, in: there, out: back}
+	toAccepted := make(chan []byte, queueLength)
+	toDialled := make(chan []byte, queueLength)
+	p.dialled = &conn{pipe: p, local: from, remote: to, in: toDialled, out: toAccepted}
+	p.accepted = &conn{pipe: p, local: to, remote: from, in: toAccepted, out: toDialled}
 	from.track(p)
 	to.track(p)
 	p.net.addPipe(p)
 	return p
 }
 
+// link returns the pair of addresses that the pipe connects.
 func (p *pipe) link() link { return linkOf(p.dialled.local.addr, p.dialled.remote.addr) }
 
 // close ends the connection on both sides.
@@ -45,8 +49,8 @@
 	p.once.Do(func() {
 		close(p.done)
 		p.net.removePipe(p)
-		p.dialled.local.forget(p)
-		p.dialled.remote.forget(p)
+		p.dialled.local.untrack(p)
+		p.dialled.remote.untrack(p)
 	})
 }
 
@@ -57,9 +61,10 @@
 	remote *Transport
 	in     <-chan []byte
 	out    chan<- []byte
-	// held is a message that was taken from in while the link was cut.
-	held   []byte
-	closed atomic.Bool
+	// buffered is a message that was read from in while Receive waited. It is
+	// delivered once the link is not cut.
+	buffered []byte
+	closed   atomic.Bool
 }
 
 var _ peer.Conn = (*conn)(nil)
@@ -82,13 +87,13 @@
 }
 
 // Receive implements peer.Conn. Messages that arrived before the other side
-// closed the connection are still delivered, unless the link is cut.
+// closed the connection are still returned, unless the link is cut.
 func (c *conn) Receive(ctx context.Context) ([]byte, error) {
 	for {
 		if c.closed.Load() {
 			return nil, peer.ErrClosed
 		}
-		cut, changed := c.pipe.net.state(c.pipe.link())
+		cut, changed := c.pipe.net.cutState(c.pipe.link())
 		if cut {
 			select {
 			case <-changed:
@@ -103,10 +108,10 @@
 			return msg, nil
 		}
 		select {
-		case c.held = <-c.in:
+		case c.buffered = <-c.in:
 		case <-changed:
 		case <-c.pipe.done:
-			return c.last()
+			return c.takeAfterClose()
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -115,9 +120,9 @@
 
 // take returns the next message that has arrived, without waiting.
 func (c *conn) take() ([]byte, bool) {
-	if c.held != nil {
-		msg := c.held
-		c.held = nil
+	if c.buffered != nil {
+		msg := c.buffered
+		c.buffered = nil
 		return msg, true
 	}
 	select {
@@ -128,8 +133,9 @@
 	}
 }
 
-// last returns a message that arrived before the end, or ErrClosed.
-func (c *conn) last() ([]byte, error) {
+// takeAfterClose returns a message that arrived before the pipe was closed, or
+// peer.ErrClosed if there is none or this end closed the pipe.
+func (c *conn) takeAfterClose() ([]byte, error) {
 	if msg, ok := c.take(); ok && !c.closed.Load() {
 		return msg, nil
 	}
--- a/transport/peer/memory/memory_test.go
+++ b/transport/peer/memory/memory_test.go
@@ -67,7 +67,7 @@
 	})
 }
 
-func TestLastingCutEndsConnectionsAndDials(t *testing.T) {
+func TestCutBeyondIdleTimeoutEndsConnectionsAndDials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, a, b := connect(t)
 		n.Cut(addrA, addrB)
--- a/transport/peer/memory/network.go
+++ b/transport/peer/memory/network.go
@@ -1,7 +1,7 @@
-// Package memory is a peer.Transport within one process, for tests. A Network
-// joins the transports; tests cut it between sets of addresses, heal it and
-// drop connections. All waiting is on channels and timers, so that a test may
-// run in a testing/synctest bubble.
+// Package memory implements peer.Transport within one process, for tests. A
+// Network connects the transports. Tests can partition it between sets of
+// addresses, heal the partition and drop connections. All waiting is on channels
+// and timers, so that a test can run in a testing/synctest bubble.
 package memory
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// DefaultIdleTimeout is how long a connection outlives a cut, unless
+// DefaultIdleTimeout is how long a connection stays open across a cut, unless
 // SetIdleTimeout changes it.
 const DefaultIdleTimeout = 5 * time.Second
 
-// acceptBacklog is the number of connections that wait for Accept.
+// acceptBacklog is the maximum number of connections that wait for Accept.
 const acceptBacklog = 64
 
 // link is an unordered pair of addresses.
@@ -28,13 +28,13 @@
 	return link{low: a, high: b}
 }
 
-// Network joins transports by address. It is safe for concurrent use.
+// Network connects transports by their addresses. It is safe for concurrent use.
 type Network struct {
-	mu         sync.Mutex
-	idle       time.Duration
-	transports map[string]*Transport
-	pipes      map[*pipe]struct{}
-	cuts       map[link]bool
+	mu          sync.Mutex
+	idleTimeout time.Duration
+	transports  map[string]*Transport
+	pipes       map[*pipe]struct{}
+	cuts        map[link]bool
 	// changed is closed and replaced whenever cuts changes.
 	changed chan struct{}
 }
@@ -42,17 +42,17 @@
 // NewNetwork returns a network without transports and without cuts.
 func NewNetwork() *Network {
 	return &Network{
-		idle:       DefaultIdleTimeout,
-		transports: make(map[string]*Transport),
-		pipes:      make(map[*pipe]struct{}),
-		cuts:       make(map[link]bool),
-		changed:    make(chan struct{}),
+		idleTimeout: DefaultIdleTimeout,
+		transports:  make(map[string]*Transport),
+		pipes:       make(map[*pipe]struct{}),
+		cuts:        make(map[link]bool),
+		changed:     make(chan struct{}),
 	}
 }
 
-// Transport adds a transport for the node id at addr. A transport that was at
-// the address before is closed first, as by a restart of the node. An empty id
-// stands for a node without a certificate.
+// Transport adds a transport for the node id at addr. It closes the previous
+// transport at that address, as a restart of the node would. An empty id stands
+// for a node without a certificate.
 func (n *Network) Transport(id model.NodeID, addr string) *Transport {
 	t := &Transport{
 		net:     n,
@@ -66,20 +66,21 @@
 	n.transports[addr] = t
 	n.mu.Unlock()
 	if old != nil {
-		old.shut()
+		old.shutdown()
 	}
 	return t
 }
 
-// SetIdleTimeout sets how long connections outlive cuts made from now on.
+// SetIdleTimeout sets how long a connection stays open across a cut. It applies
+// to cuts made from then on.
 func (n *Network) SetIdleTimeout(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.idle = d
+	n.idleTimeout = d
 }
 
 // Cut stops all traffic between the addresses of a and those of b. Messages in
-// flight are held back. A connection that is still cut after the idle timeout
+// flight are withheld. A connection that is still cut after the idle timeout
 // fails on both sides; a dial across the cut waits until its context ends.
 func (n *Network) Cut(a, b []string) {
 	n.mu.Lock()
@@ -90,13 +91,13 @@
 	n.notifyLocked()
 	for p := range n.pipes {
 		if n.cuts[p.link()] && p.expiry == nil {
-			p.expiry = time.AfterFunc(n.idle, p.close)
+			p.expiry = time.AfterFunc(n.idleTimeout, p.close)
 		}
 	}
 }
 
-// Heal ends the cuts between the addresses of a and those of b. Messages held
-// back on connections that still exist are delivered.
+// Heal ends the cuts between the addresses of a and those of b. Messages that
+// were withheld on connections that still exist are delivered.
 func (n *Network) Heal(a, b []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -113,7 +114,7 @@
 }
 
 // Drop closes the connections between the addresses of a and those of b and
-// returns their number. Both sides see the end at once.
+// returns their number. Both sides see the connection closed at once.
 func (n *Network) Drop(a, b []string) int {
 	dropped := 0
 	for _, l := range pairs(a, b) {
@@ -137,15 +138,15 @@
 	return found
 }
 
-// notifyLocked wakes all who wait for a change of the cuts.
+// notifyLocked wakes all goroutines that wait for a change of the cuts.
 func (n *Network) notifyLocked() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// state reports whether the link is cut, and a channel that is closed when the
-// cuts change.
-func (n *Network) state(l link) (cut bool, changed <-chan struct{}) {
+// cutState reports whether the link is cut, and returns a channel that is closed
+// when the cuts change.
+func (n *Network) cutState(l link) (cut bool, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cuts[l], n.changed
@@ -162,7 +163,7 @@
 	defer n.mu.Unlock()
 	n.pipes[p] = struct{}{}
 	if n.cuts[p.link()] {
-		p.expiry = time.AfterFunc(n.idle, p.close)
+		p.expiry = time.AfterFunc(n.idleTimeout, p.close)
 	}
 }
 
@@ -183,7 +184,8 @@
 	}
 }
 
-// pairs returns the links between two different addresses, one of each set.
+// pairs returns the links between each address of a and each different address
+// of b.
 func pairs(a, b []string) []link {
 	var all []link
 	for _, x := range a {
--- a/transport/peer/memory/transport.go
+++ b/transport/peer/memory/transport.go
@@ -8,13 +8,13 @@
 	"github.com/jacinthgate/jacinthgate/transport/peer"
 )
 
-// RefusedError reports a dial to an address without a transport.
+// RefusedError reports a dial to an address without an open transport.
 type RefusedError struct{}
 
 // Error implements error.
 func (*RefusedError) Error() string { return "connection refused" }
 
-// Transport is one node's end of a Network. It implements peer.Transport.
+// Transport is a node's access to a Network. It implements peer.Transport.
 type Transport struct {
 	net     *Network
 	id      model.NodeID
@@ -39,20 +39,21 @@
 		return nil, &peer.DialError{Addr: addr, Err: &RefusedError{}}
 	}
 	p := newPipe(t, target)
-	if err := target.offer(ctx, p.accepted); err != nil {
+	if err := target.enqueue(ctx, p.accepted); err != nil {
 		p.close()
 		return nil, &peer.DialError{Addr: addr, Err: err}
 	}
 	return p.dialled, nil
 }
 
-// waitHealed waits until the way to addr is not cut.
+// waitHealed waits until the link to addr is not cut. It returns an error if the
+// transport is closed or ctx ends first.
 func (t *Transport) waitHealed(ctx context.Context, addr string) error {
 	for {
 		if t.isClosed() {
 			return peer.ErrClosed
 		}
-		cut, changed := t.net.state(linkOf(t.addr, addr))
+		cut, changed := t.net.cutState(linkOf(t.addr, addr))
 		if !cut {
 			return ctx.Err()
 		}
@@ -66,8 +67,8 @@
 	}
 }
 
-// offer hands the accepting end of a connection to the transport.
-func (t *Transport) offer(ctx context.Context, c *conn) error {
+// enqueue adds the accepting end of a connection to the transport's backlog.
+func (t *Transport) enqueue(ctx context.Context, c *conn) error {
 	if t.isClosed() {
 		return &RefusedError{}
 	}
@@ -102,12 +103,12 @@
 // Close implements peer.Transport.
 func (t *Transport) Close() error {
 	t.net.removeTransport(t)
-	t.shut()
+	t.shutdown()
 	return nil
 }
 
-// shut closes the transport without removing it from its network.
-func (t *Transport) shut() {
+// shutdown closes the transport without removing it from its network.
+func (t *Transport) shutdown() {
 	t.once.Do(func() { close(t.done) })
 	t.mu.Lock()
 	open := make([]*pipe, 0, len(t.pipes))
@@ -138,7 +139,7 @@
 	t.pipes[p] = struct{}{}
 }
 
-func (t *Transport) forget(p *pipe) {
+func (t *Transport) untrack(p *pipe) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.pipes, p)
--- a/transport/peer/peer.go
+++ b/transport/peer/peer.go
@@ -1,5 +1,6 @@
-// Package peer carries encoded messages between nodes. Transport is an
-// interface so that tests run over memory and the daemons over QUIC.
+// Package peer defines the transport that carries encoded messages between
+// nodes. Transport is an interface so that tests can run in memory and the
+// daemons over QUIC or TCP.
 package peer
 
 import (
@@ -23,16 +24,16 @@
 	Close() error
 }
 
-// Conn is one connection. Messages of one connection arrive whole and in
-// order, or the connection fails.
+// Conn is a connection to a peer. Its messages arrive complete and in order, or
+// the connection fails.
 type Conn interface {
-	// Send sends one message. It returns ErrClosed on a closed connection and
-	// may block until the peer takes the message or ctx ends.
+	// Send sends one message. It returns ErrClosed on a closed connection. It
+	// may block until the peer accepts the message or ctx ends.
 	Send(ctx context.Context, msg []byte) error
 	// Receive waits for the next message.
 	Receive(ctx context.Context) ([]byte, error)
-	// Peer returns the node that the connection's certificate names. It is
-	// empty where the transport has no identities.
+	// Peer returns the node named in the peer's certificate. It is empty if
+	// the transport does not authenticate peers.
 	Peer() model.NodeID
 	// RemoteAddr returns the peer's address.
 	RemoteAddr() string
@@ -40,7 +41,7 @@
 	Close() error
 }
 
-// ClosedError reports use of a closed transport or connection.
+// ClosedError reports the use of a closed transport or connection.
 type ClosedError struct{}
 
 // Error implements error.
--- a/transport/peer/quic/bench_test.go
+++ b/transport/peer/quic/bench_test.go
@@ -16,36 +16,36 @@
 )
 
 // The benchmarks compare this package with TLS over TCP for the design note
-// docs/design/transport.md. Figures of "bytes" are UDP payloads for QUIC and
-// TLS records for TCP; headers and bare TCP acknowledgements come on top.
+// docs/design/transport.md. Byte counts are UDP payloads for QUIC and TLS
+// records for TCP; headers and bare TCP acknowledgements are not included.
 
-// endpoint is one end of a connection under measurement.
+// endpoint is one end of a connection in a benchmark.
 type endpoint interface {
 	send(b *testing.B, msg []byte)
 	receive(b *testing.B)
 	Close() error
 }
 
-// carrier makes connections and counts their bytes.
-type carrier interface {
+// benchTransport opens connections and counts their bytes.
+type benchTransport interface {
 	connect(b *testing.B) (dialled, accepted endpoint)
 	bytes() uint64
 }
 
-var carriers = map[string]func(b *testing.B) carrier{
-	"quic": func(b *testing.B) carrier {
-		s := newSite(b)
-		return &quicCarrier{start(b, s.config(b, "node-a")), start(b, s.config(b, "node-b"))}
+var benchTransports = map[string]func(b *testing.B) benchTransport{
+	"quic": func(b *testing.B) benchTransport {
+		ca := newAuthority(b)
+		return &quicBench{start(b, ca.config(b, "node-a")), start(b, ca.config(b, "node-b"))}
 	},
-	"tcp": func(b *testing.B) carrier {
+	"tcp": func(b *testing.B) benchTransport {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		must.NoError(b, err)
 		b.Cleanup(func() { l.Close() })
-		return &tcpCarrier{cfg: newSite(b).config(b, "node-a"), listener: l}
+		return &tcpBench{cfg: newAuthority(b).config(b, "node-a"), listener: l}
 	},
 }
 
-type quicCarrier struct{ a, b *Transport }
+type quicBench struct{ a, b *Transport }
 
 type quicEnd struct{ *conn }
 
@@ -56,20 +56,20 @@
 	must.NoError(b, err)
 }
 
-func (c *quicCarrier) connect(b *testing.B) (dialled, accepted endpoint) {
+func (c *quicBench) connect(b *testing.B) (dialled, accepted endpoint) {
 	x, y := connect(b, c.a, c.b)
 	return quicEnd{x.(*conn)}, quicEnd{y.(*conn)}
 }
 
-func (c *quicCarrier) bytes() uint64 { return c.a.Stats().BytesSent + c.b.Stats().BytesSent }
+func (c *quicBench) bytes() uint64 { return c.a.Stats().BytesSent + c.b.Stats().BytesSent }
 
-type tcpCarrier struct {
+type tcpBench struct {
 	cfg      Config
 	listener net.Listener
 	count    atomic.Uint64
 }
 
-// countedConn counts what is written.
+// countedConn counts the bytes written.
 type countedConn struct {
 	net.Conn
 	count *atomic.Uint64
@@ -96,7 +96,7 @@
 	must.NoError(b, err)
 }
 
-func (c *tcpCarrier) connect(b *testing.B) (dialled, accepted endpoint) {
+func (c *tcpBench) connect(b *testing.B) (dialled, accepted endpoint) {
 	raw, err := net.Dial("tcp", c.listener.Addr().String())
 	must.NoError(b, err)
 	other, err := c.listener.Accept()
@@ -110,21 +110,22 @@
 	return x, y
 }
 
-func (c *tcpCarrier) bytes() uint64 { return c.count.Load() }
+func (c *tcpBench) bytes() uint64 { return c.count.Load() }
 
-// processorTime returns the time that the process has used.
+// processorTime returns the CPU time that the process has used.
 func processorTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	must.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkHandshake reports the bytes and the processor time of both ends.
+// BenchmarkHandshake reports the bytes and the CPU time of a handshake, for both
+// ends together.
 func BenchmarkHandshake(b *testing.B) {
-	for name, create := range carriers {
+	for name, create := range benchTransports {
 		b.Run(name, func(b *testing.B) {
 			c := create(b)
-			before, used, n := c.bytes(), processorTime(b), 0
+			before, cpuBefore, n := c.bytes(), processorTime(b), 0
 			for b.Loop() {
 				x, y := c.connect(b)
 				x.Close()
@@ -132,20 +133,20 @@
 				n++
 			}
 			b.ReportMetric(float64(c.bytes()-before)/float64(n), "bytes/op")
-			b.ReportMetric(float64((processorTime(b)-used).Microseconds())/float64(n), "cpu-µs/op")
+			b.ReportMetric(float64((processorTime(b)-cpuBefore).Microseconds())/float64(n), "cpu-µs/op")
 		})
 	}
 }
 
-// BenchmarkRoundTrip reports the median time and the bytes of a message of 64
-// bytes and its answer of the same size.
+// BenchmarkRoundTrip reports the median duration, the bytes and the CPU time of
+// a round trip: a message of 64 bytes and a response of the same size.
 func BenchmarkRoundTrip(b *testing.B) {
-	for name, create := range carriers {
+	for name, create := range benchTransports {
 		b.Run(name, func(b *testing.B) {
 			c := create(b)
 			x, y := c.connect(b)
 			msg := make([]byte, 64)
-			before, used := c.bytes(), processorTime(b)
+			before, cpuBefore := c.bytes(), processorTime(b)
 			var times []time.Duration
 			for b.Loop() {
 				start := time.Now()
@@ -158,33 +159,34 @@
 			slices.Sort(times)
 			b.ReportMetric(float64(times[len(times)/2].Microseconds()), "p50-µs")
 			b.ReportMetric(float64(c.bytes()-before)/float64(len(times)), "bytes/op")
-			b.ReportMetric(float64((processorTime(b)-used).Microseconds())/float64(len(times)), "cpu-µs/op")
+			b.ReportMetric(float64((processorTime(b)-cpuBefore).Microseconds())/float64(len(times)), "cpu-µs/op")
 		})
 	}
 }
 
-// BenchmarkIdle reports the heap and stack of one end of an idle connection,
-// the kernel's buffers apart, and the bytes of an idle second.
+// BenchmarkIdle reports the heap and stack that one end of an idle connection
+// uses, without the kernel's buffers, and the bytes that an idle connection
+// sends per second.
 func BenchmarkIdle(b *testing.B) {
-	const connections, rest = 200, 2 * time.Second
-	for name, create := range carriers {
+	const connections, settle = 200, 2 * time.Second
+	for name, create := range benchTransports {
 		b.Run(name, func(b *testing.B) {
 			c := create(b)
-			keep := make([]endpoint, 0, 2*connections)
+			ends := make([]endpoint, 0, 2*connections)
 			before := memory()
 			for range connections {
 				x, y := c.connect(b)
 				x.send(b, make([]byte, 64))
 				y.receive(b)
-				keep = append(keep, x, y)
+				ends = append(ends, x, y)
 			}
-			time.Sleep(rest) // path MTU discovery and late acknowledgements
+			time.Sleep(settle) // until path MTU discovery and late acknowledgements are over
 			after, sent := memory(), c.bytes()
-			time.Sleep(rest)
-			idle := float64(c.bytes()-sent) / connections / rest.Seconds()
-			b.ReportMetric(float64(after-before)/float64(len(keep))/1024, "KB/end")
+			time.Sleep(settle)
+			idle := float64(c.bytes()-sent) / connections / settle.Seconds()
+			b.ReportMetric(float64(after-before)/float64(len(ends))/1024, "KB/end")
 			b.ReportMetric(idle, "idle-bytes/s")
-			for _, end := range keep {
+			for _, end := range ends {
 				end.Close()
 			}
 		})
--- a/transport/peer/quic/config.go
+++ b/transport/peer/quic/config.go
@@ -1,10 +1,10 @@
-// Package quic is a peer.Transport over QUIC: one UDP socket for all peers, one
-// connection for each peer, and on it one long-lived stream with messages of a
-// length prefix each.
+// Package quic implements peer.Transport over QUIC. It uses one UDP socket for
+// all peers, one connection per peer, and one long-lived stream per connection.
+// Each message on the stream is preceded by its length as a varint.
 //
 // QUIC's own keep-alive is off: the protocol's heartbeats keep a connection
-// from idling out, and a peer that sends none is to be found out. 0-RTT and
-// session resumption are off, so a message is never replayed.
+// from reaching its idle timeout, and a peer that sends none must be detected.
+// 0-RTT and session resumption are off, so a message is never replayed.
 package quic
 
 import (
@@ -19,25 +19,26 @@
 	// ListenAddr is the UDP address to listen on, IP:port. Port 0 lets the
 	// kernel choose.
 	ListenAddr string
-	// ServerTLS is for connections that peers open. It must require a client
-	// certificate, unless Insecure is set.
+	// ServerTLS configures connections that peers open. It must require a
+	// client certificate, unless Insecure is set.
 	ServerTLS *tls.Config
-	// ClientTLS is for connections that this node opens.
+	// ClientTLS configures connections that this node opens.
 	ClientTLS *tls.Config
 	// Insecure accepts peers without a certificate. All peers then have an
 	// empty identity.
 	Insecure bool
-	// HandshakeTimeout bounds the time from a peer's first packet to a usable
-	// connection, and a Dial whose context has no earlier end.
+	// HandshakeTimeout limits the time from a peer's first packet to a usable
+	// connection, and the duration of Dial.
 	HandshakeTimeout time.Duration
-	// IdleTimeout ends a connection from which nothing was heard. It must be
-	// a few heartbeats long.
+	// IdleTimeout is how long a connection may receive nothing before it is
+	// closed. It must span a few heartbeats.
 	IdleTimeout time.Duration
-	// ReceiveWindow is the most bytes in flight from one peer that wait to be
-	// read. It bounds the memory of a connection; a whole message need not fit.
+	// ReceiveWindow is the maximum number of unread bytes that one peer may
+	// have in flight. It limits the memory of a connection and may be smaller
+	// than a message.
 	ReceiveWindow uint64
-	// DisablePathMTUDiscovery saves the probe packets of each new connection
-	// and keeps packets at 1,280 bytes.
+	// DisablePathMTUDiscovery avoids the probe packets of each new connection
+	// and limits packets to 1,280 bytes.
 	DisablePathMTUDiscovery bool
 }
 
@@ -57,10 +58,11 @@
 	}
 }
 
-// maxStreams is the number of streams a peer may open: the one.
+// maxStreams is the number of streams that a peer may open on a connection.
 const maxStreams = 1
 
-// check returns a *ConfigError for a configuration that can't be safe.
+// check returns a *ConfigError if the TLS settings are missing or would admit
+// peers without a certificate although Insecure is not set.
 func (c Config) check() error {
 	if c.ServerTLS == nil || c.ClientTLS == nil {
 		return &ConfigError{Field: "ServerTLS, ClientTLS", Want: "both set"}
@@ -71,6 +73,7 @@
 	return nil
 }
 
+// quic returns the configuration for the QUIC library.
 func (c Config) quic() *quicgo.Config {
 	return &quicgo.Config{
 		HandshakeIdleTimeout:           c.HandshakeTimeout,
--- a/transport/peer/quic/conn.go
+++ b/transport/peer/quic/conn.go
@@ -16,13 +16,14 @@
 	"github.com/jacinthgate/jacinthgate/transport/peer"
 )
 
-// readBuffer is the size of a connection's read buffer in bytes. It only has
-// to make the length prefix cheap to read.
+// readBuffer is the size of a connection's read buffer in bytes. It only serves
+// to read the length prefix without one stream read per byte.
 const readBuffer = 512
 
-// firstAllocation is the most that is allocated on the word of a length
-// prefix; a longer message's buffer grows as its bytes arrive.
-const firstAllocation = 16 << 10
+// initialBufferSize is the maximum number of bytes allocated for a message
+// before its body arrives, as the length prefix comes from the peer and is not
+// trusted. The buffer of a longer message grows as its bytes arrive.
+const initialBufferSize = 16 << 10
 
 // conn implements peer.Conn on one QUIC connection and its stream.
 type conn struct {
@@ -41,8 +42,8 @@
 	return &conn{quic: q, stream: stream, peer: id, reader: bufio.NewReaderSize(stream, readBuffer)}
 }
 
-// Send implements peer.Conn. A ctx that ends while the message is under way
-// closes the connection, as a part of the message may have been sent.
+// Send implements peer.Conn. If ctx ends while the message is being written,
+// the connection is closed, as the message may have been sent in part.
 func (c *conn) Send(ctx context.Context, msg []byte) error {
 	if len(msg) == 0 || len(msg) > message.MaxSize {
 		return &FrameError{Size: uint64(len(msg))}
@@ -58,6 +59,7 @@
 	return c.write(ctx, frame)
 }
 
+// write writes b to the stream. It closes the connection on failure.
 func (c *conn) write(ctx context.Context, b []byte) error {
 	stop := context.AfterFunc(ctx, func() { c.stream.SetWriteDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -67,8 +69,8 @@
 	return nil
 }
 
-// Receive implements peer.Conn. A ctx that ends closes the connection, as a
-// part of a message may have been read.
+// Receive implements peer.Conn. If ctx ends during the read, the connection is
+// closed, as a message may have been read in part.
 func (c *conn) Receive(ctx context.Context) ([]byte, error) {
 	c.receiveMu.Lock()
 	defer c.receiveMu.Unlock()
@@ -89,9 +91,9 @@
 	return msg, nil
 }
 
-// readBody reads a message of the given size.
+// readBody reads a message of size bytes.
 func (c *conn) readBody(size int) ([]byte, error) {
-	msg := make([]byte, 0, min(size, firstAllocation))
+	msg := make([]byte, 0, min(size, initialBufferSize))
 	for len(msg) < size {
 		if len(msg) == cap(msg) {
 			grown := make([]byte, len(msg), min(size, 2*cap(msg)))
@@ -107,8 +109,8 @@
 	return msg, nil
 }
 
-// fail closes the connection and returns the error for the caller: the
-// context's, or ErrClosed when either side closed, or else err.
+// fail closes the connection after err. It returns the context's error if ctx
+// has ended, peer.ErrClosed if either side closed the connection, or else err.
 func (c *conn) fail(ctx context.Context, err error) error {
 	c.Close()
 	if ctx.Err() != nil {
@@ -147,7 +149,7 @@
 // RemoteAddr implements peer.Conn.
 func (c *conn) RemoteAddr() string { return c.quic.RemoteAddr().String() }
 
-// Close implements peer.Conn. Messages under way may be lost.
+// Close implements peer.Conn. Messages in flight may be lost.
 func (c *conn) Close() error {
 	return c.quic.CloseWithError(codeClosed, "")
 }
--- a/transport/peer/quic/quic_test.go
+++ b/transport/peer/quic/quic_test.go
@@ -15,22 +15,22 @@
 	"github.com/jacinthgate/jacinthgate/transport/security"
 )
 
-// site issues certificates of one authority.
-type site struct{ dir string }
+// authority issues test certificates from a certificate authority in dir.
+type authority struct{ dir string }
 
-func newSite(t testing.TB) site {
-	s := site{dir: t.TempDir()}
-	must.NoError(t, security.InitAuthority(s.dir, "site", time.Hour))
-	return s
+func newAuthority(t testing.TB) authority {
+	ca := authority{dir: t.TempDir()}
+	must.NoError(t, security.InitAuthority(ca.dir, "site", time.Hour))
+	return ca
 }
 
-func (s site) keys(t testing.TB, role security.Role, name string) *security.Keys {
+func (ca authority) keys(t testing.TB, role security.Role, name string) *security.Keys {
 	out := t.TempDir()
 	issue := security.IssueNode
 	if role == security.RoleOperator {
 		issue = security.IssueOperator
 	}
-	must.NoError(t, issue(s.dir, name, out, time.Hour))
+	must.NoError(t, issue(ca.dir, name, out, time.Hour))
 	cfg := security.DefaultConfig()
 	cfg.AuthorityFile = filepath.Join(out, security.AuthorityFile)
 	cfg.CertificateFile = filepath.Join(out, security.CertificateFile)
@@ -41,8 +41,8 @@
 	return k
 }
 
-func (s site) config(t testing.TB, id string) Config {
-	k := s.keys(t, security.RoleNode, id)
+func (ca authority) config(t testing.TB, id string) Config {
+	k := ca.keys(t, security.RoleNode, id)
 	cfg := DefaultConfig()
 	cfg.ListenAddr = "127.0.0.1:0"
 	cfg.ServerTLS = k.ServerConfig()
@@ -67,8 +67,8 @@
 }
 
 func TestMessagesArriveWholeAndInOrder(t *testing.T) {
-	s := newSite(t)
-	a, b := start(t, s.config(t, "node-a")), start(t, s.config(t, "node-b"))
+	ca := newAuthority(t)
+	a, b := start(t, ca.config(t, "node-a")), start(t, ca.config(t, "node-b"))
 	dialled, accepted := connect(t, a, b)
 	must.Eq(t, "node-b", string(dialled.Peer()))
 	must.Eq(t, "node-a", string(accepted.Peer()))
@@ -95,8 +95,8 @@
 }
 
 func TestOversizeFrameClosesConnection(t *testing.T) {
-	s := newSite(t)
-	a, b := start(t, s.config(t, "node-a")), start(t, s.config(t, "node-b"))
+	ca := newAuthority(t)
+	a, b := start(t, ca.config(t, "node-a")), start(t, ca.config(t, "node-b"))
 	dialled, accepted := connect(t, a, b)
 	must.NoError(t, dialled.(*conn).write(t.Context(), []byte{0xff, 0xff, 0xff, 0x7f}))
 	_, err := accepted.Receive(t.Context())
@@ -105,14 +105,14 @@
 	must.Error(t, err)
 }
 
-func TestContextEndsWaiting(t *testing.T) {
-	s := newSite(t)
-	a, b := start(t, s.config(t, "node-a")), start(t, s.config(t, "node-b"))
+func TestContextEndsPendingCalls(t *testing.T) {
+	ca := newAuthority(t)
+	a, b := start(t, ca.config(t, "node-a")), start(t, ca.config(t, "node-b"))
 	dialled, accepted := connect(t, a, b)
 	ctx, cancel := context.WithCancel(t.Context())
 	blocked := make(chan error)
 	go func() {
-		for { // nobody receives: the window fills up
+		for { // nothing is received, so the flow control window fills up
 			if err := dialled.Send(ctx, make([]byte, 50_000)); err != nil {
 				blocked <- err
 				return
@@ -130,13 +130,13 @@
 }
 
 func TestUnverifiedPeersAreRefused(t *testing.T) {
-	s := newSite(t)
-	b := start(t, s.config(t, "node-b"))
-	stranger := start(t, newSite(t).config(t, "node-a"))
+	ca := newAuthority(t)
+	b := start(t, ca.config(t, "node-b"))
+	stranger := start(t, newAuthority(t).config(t, "node-a"))
 	_, err := stranger.Dial(t.Context(), b.Addr())
 	must.True(t, is[*security.StrangerError](err))
 
-	// A dialler that accepts any server is refused by the server.
+	// The server refuses a client that itself accepts any server certificate.
 	e, err := security.Ephemeral()
 	must.NoError(t, err)
 	cfg := DefaultConfig()
@@ -151,12 +151,12 @@
 	dialled, accepted := connect(t, insecure, start(t, cfg))
 	must.Eq(t, "", string(dialled.Peer()+accepted.Peer()))
 
-	// A secure transport refuses a certificate that names no node.
-	lax := s.config(t, "node-c")
+	// A transport that is not insecure refuses a certificate without a node name.
+	lax := ca.config(t, "node-c")
 	lax.ClientTLS = e.ClientConfig()
-	lax.ClientTLS.GetClientCertificate = s.config(t, "node-c").ClientTLS.GetClientCertificate
-	operator := s.config(t, "node-d")
-	operator.ServerTLS = s.keys(t, security.RoleOperator, "op").ServerConfig()
+	lax.ClientTLS.GetClientCertificate = ca.config(t, "node-c").ClientTLS.GetClientCertificate
+	operator := ca.config(t, "node-d")
+	operator.ServerTLS = ca.keys(t, security.RoleOperator, "op").ServerConfig()
 	_, err = start(t, lax).Dial(t.Context(), start(t, operator).Addr())
 	must.True(t, is[*IdentityError](err), must.Sprint(err))
 }
--- a/transport/peer/quic/socket.go
+++ b/transport/peer/quic/socket.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// Stats counts what went over the wire: UDP payloads, without the headers of
-// UDP and IP.
+// Stats holds the traffic counters of a transport. Bytes are those of UDP
+// payloads, without the headers of UDP and IP.
 type Stats struct {
-	// BytesSent and PacketsSent count what was sent since the start.
+	// BytesSent and PacketsSent count the traffic sent since the start.
 	BytesSent, PacketsSent uint64
-	// BytesReceived and PacketsReceived count what was received.
+	// BytesReceived and PacketsReceived count the traffic received since the start.
 	BytesReceived, PacketsReceived uint64
 }
 
-// socket counts the packets of a UDP socket. It deliberately does not embed
-// *net.UDPConn: with only the methods below QUIC sends and receives packet by
-// packet through here, which the control traffic's rate allows.
+// socket wraps a UDP socket and counts its packets. It deliberately does not
+// embed *net.UDPConn: with only the methods below, the QUIC library sends and
+// receives each packet through ReadFrom and WriteTo instead of in batches. The
+// rate of the control traffic is low enough for that.
 type socket struct {
 	udp *net.UDPConn
 
@@ -26,6 +27,7 @@
 	bytesReceived, packetsReceived atomic.Uint64
 }
 
+// stats returns the current counters.
 func (s *socket) stats() Stats {
 	return Stats{
 		BytesSent:       s.bytesSent.Load(),
@@ -70,11 +72,11 @@
 // SetWriteDeadline implements net.PacketConn.
 func (s *socket) SetWriteDeadline(t time.Time) error { return s.udp.SetWriteDeadline(t) }
 
-// SetReadBuffer lets QUIC size the socket's buffer.
+// SetReadBuffer lets the QUIC library set the size of the receive buffer.
 func (s *socket) SetReadBuffer(bytes int) error { return s.udp.SetReadBuffer(bytes) }
 
-// SetWriteBuffer lets QUIC size the socket's buffer.
+// SetWriteBuffer lets the QUIC library set the size of the send buffer.
 func (s *socket) SetWriteBuffer(bytes int) error { return s.udp.SetWriteBuffer(bytes) }
 
-// SyscallConn lets QUIC forbid the fragmentation of its packets.
+// SyscallConn lets the QUIC library set the don't-fragment option.
 func (s *socket) SyscallConn() (syscall.RawConn, error) { return s.udp.SyscallConn() }
--- a/transport/peer/quic/transport.go
+++ b/transport/peer/quic/transport.go
@@ -12,19 +12,20 @@
 	"github.com/jacinthgate/jacinthgate/transport/peer"
 )
 
-// acceptBacklog is the number of usable connections that wait for Accept.
+// acceptBacklog is the maximum number of connections that have completed the
+// handshake and wait for Accept.
 const acceptBacklog = 32
 
-// Codes that a connection is closed with.
+// Application error codes that a connection is closed with.
 const (
 	codeClosed   quicgo.ApplicationErrorCode = 0
 	codeRefused  quicgo.ApplicationErrorCode = 1
 	codeProtocol quicgo.ApplicationErrorCode = 2
 )
 
-// preface is the first byte of the stream in either direction. The acceptor
-// sends its own only after it has accepted the peer's certificate, so that a
-// Dial that succeeds was accepted by both.
+// preface is the first byte of the stream in each direction. The accepting side
+// sends it only after it has accepted the dialling side's certificate, so a
+// successful Dial means that both sides have accepted each other.
 const preface = 0x6a
 
 // Transport implements peer.Transport over QUIC.
@@ -42,8 +43,8 @@
 
 var _ peer.Transport = (*Transport)(nil)
 
-// New opens the socket and accepts connections. It returns a *ConfigError, or
-// the socket's error.
+// New opens the socket and begins to accept connections. The error is a
+// *ConfigError or the cause of a failure to open the socket.
 func New(cfg Config) (*Transport, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -77,14 +78,15 @@
 	return t, nil
 }
 
-// Stats returns the traffic since the start.
+// Stats returns the traffic counters since the start.
 func (t *Transport) Stats() Stats { return t.socket.stats() }
 
 // Addr implements peer.Transport.
 func (t *Transport) Addr() string { return t.socket.LocalAddr().String() }
 
 // Dial implements peer.Transport. The cause within the *peer.DialError is an
-// *IdentityError, a *PrefaceError, or what QUIC or the TLS configuration says.
+// *IdentityError, a *PrefaceError, or an error of QUIC or of the TLS
+// configuration.
 func (t *Transport) Dial(ctx context.Context, addr string) (peer.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, t.cfg.HandshakeTimeout)
 	defer cancel()
@@ -95,6 +97,7 @@
 	return c, nil
 }
 
+// dial opens a connection and its stream.
 func (t *Transport) dial(ctx context.Context, addr string) (*conn, error) {
 	udp, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -112,7 +115,8 @@
 	return c, nil
 }
 
-// openStream opens the connection's stream and waits for the peer's consent.
+// openStream opens the connection's stream and waits for the peer's preface,
+// which shows that the peer has accepted this node's certificate.
 func (t *Transport) openStream(ctx context.Context, q *quicgo.Conn) (*conn, error) {
 	id, err := t.identify(q)
 	if err != nil {
@@ -129,8 +133,8 @@
 	return c, c.receivePreface(ctx)
 }
 
-// acceptAll takes connections until the transport closes. Each is made usable
-// in its own goroutine, so that a slow peer holds up no other.
+// acceptAll accepts connections until the transport closes. Each connection is
+// set up in its own goroutine, so that a slow peer does not delay the others.
 func (t *Transport) acceptAll(ctx context.Context) {
 	for {
 		q, err := t.listener.Accept(ctx)
@@ -147,7 +151,8 @@
 	}
 }
 
-// admit makes an accepted connection usable and queues it for Accept.
+// admit identifies the peer of an accepted connection, exchanges the prefaces
+// and queues the connection for Accept.
 func (t *Transport) admit(ctx context.Context, q *quicgo.Conn) error {
 	id, err := t.identify(q)
 	if err != nil {
@@ -172,8 +177,8 @@
 	}
 }
 
-// identify returns the node that the peer's certificate names. The TLS
-// configuration has verified the certificate.
+// identify returns the node named in the peer's certificate, which the TLS
+// handshake has already verified. It is empty if the transport is insecure.
 func (t *Transport) identify(q *quicgo.Conn) (model.NodeID, error) {
 	if t.cfg.Insecure {
 		return "", nil
@@ -202,7 +207,8 @@
 	}
 }
 
-// Close implements peer.Transport. Peers are told, as far as packets arrive.
+// Close implements peer.Transport. Peers are notified on a best-effort basis, as
+// the close packets may be lost.
 func (t *Transport) Close() error {
 	t.once.Do(func() {
 		close(t.done)
--- a/transport/peer/tcp/tcp.go
+++ b/transport/peer/tcp/tcp.go
@@ -1,6 +1,7 @@
-// Package tcp carries messages between nodes over plain TCP, for sites whose
-// network is trusted and whose hosts hold no keys. Each message is preceded by
-// its length in four bytes. docs/design/platform.md compares it with QUIC.
+// Package tcp implements peer.Transport over plain TCP, for sites whose network
+// is trusted and whose hosts hold no keys. Each message is preceded by its
+// length as a four-byte big-endian integer. docs/design/platform.md compares it
+// with QUIC.
 package tcp
 
 import (
@@ -25,8 +26,8 @@
 const (
 	// lengthBytes is the size of a message's length prefix.
 	lengthBytes = 4
-	// readBuffer is the size of a connection's read buffer, in bytes: most
-	// messages are a few records.
+	// readBuffer is the size of a connection's read buffer, in bytes. It is
+	// small because most messages consist of a few records.
 	readBuffer = 2 << 10
 )
 
@@ -34,19 +35,19 @@
 type Config struct {
 	// ListenAddr is the address to listen on, IP:port.
 	ListenAddr string
-	// DialTimeout bounds opening a connection.
+	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// SilenceTimeout closes a connection whose peer doesn't acknowledge what
-	// was sent for so long. The kernel's own limit is many minutes.
+	// SilenceTimeout is how long sent data may stay unacknowledged before the
+	// connection is closed. The kernel's own limit is many minutes.
 	SilenceTimeout time.Duration
 }
 
-// DefaultConfig returns the settings without the address.
+// DefaultConfig returns the defaults, without an address.
 func DefaultConfig() Config {
 	return Config{DialTimeout: time.Second, SilenceTimeout: 3 * time.Second}
 }
 
-// Transport implements peer.Transport.
+// Transport implements peer.Transport over TCP.
 type Transport struct {
 	cfg      Config
 	listener net.Listener
@@ -59,7 +60,7 @@
 
 var _ peer.Transport = (*Transport)(nil)
 
-// New listens for peers.
+// New returns a transport that listens on cfg.ListenAddr.
 func New(cfg Config) (*Transport, error) {
 	ln, err := net.Listen("tcp", cfg.ListenAddr)
 	if err != nil {
@@ -67,7 +68,7 @@
 	}
 	t := &Transport{cfg: cfg, listener: ln, conns: make(map[*conn]struct{})}
 	t.dialer.Timeout = cfg.DialTimeout
-	t.dialer.KeepAlive = -1 // heartbeats prove the connection alive
+	t.dialer.KeepAlive = -1 // the protocol's heartbeats check that the connection is alive
 	if a, ok := ln.Addr().(*net.TCPAddr); ok && !a.IP.IsUnspecified() {
 		t.dialer.LocalAddr = &net.TCPAddr{IP: a.IP}
 	}
@@ -92,7 +93,7 @@
 
 // Accept implements peer.Transport.
 func (t *Transport) Accept(ctx context.Context) (peer.Conn, error) {
-	stop := context.AfterFunc(ctx, func() { _ = t.listener.Close() }) // Accept returns its error
+	stop := context.AfterFunc(ctx, func() { _ = t.listener.Close() }) // listener.Accept then returns an error
 	defer stop()
 	raw, err := t.listener.Accept()
 	if err != nil {
@@ -104,14 +105,14 @@
 	return t.add(raw)
 }
 
-// add tracks a connection until it is closed.
+// add wraps a connection and tracks it until it is closed.
 func (t *Transport) add(raw net.Conn) (*conn, error) {
 	sockopt.SetUnackedTimeout(raw, t.cfg.SilenceTimeout)
 	c := &conn{transport: t, raw: raw, br: bufio.NewReaderSize(raw, readBuffer)}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
-		_ = raw.Close() // it was never used
+		_ = raw.Close() // unused; its error does not matter
 		return nil, peer.ErrClosed
 	}
 	t.conns[c] = struct{}{}
@@ -126,54 +127,54 @@
 	t.conns = make(map[*conn]struct{})
 	t.mu.Unlock()
 	for c := range conns {
-		_ = c.Close() // all are dropped together
+		_ = c.Close() // best effort: the whole transport shuts down
 	}
 	if err := t.listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		return errors.Wrap(err, "close the peers' listener")
+		return errors.Wrap(err, "close peer listener")
 	}
 	return nil
 }
 
-// conn is one connection.
+// conn implements peer.Conn over one TCP connection.
 type conn struct {
 	transport *Transport
 	raw       net.Conn
 	br        *bufio.Reader
 	closed    atomic.Bool
-	writing   sync.Mutex
+	writeMu   sync.Mutex
 }
 
 var _ peer.Conn = (*conn)(nil)
 
 // Send implements peer.Conn.
 func (c *conn) Send(ctx context.Context, msg []byte) error {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	if c.closed.Load() {
 		return peer.ErrClosed
 	}
-	deadline, _ := ctx.Deadline() // the zero time is no deadline
+	deadline, _ := ctx.Deadline() // the zero time means no deadline
 	if err := c.raw.SetWriteDeadline(deadline); err != nil {
-		return c.ended(err)
+		return c.mapError(err)
 	}
 	frame := make([]byte, lengthBytes, lengthBytes+len(msg))
 	binary.BigEndian.PutUint32(frame, uint32(len(msg)))
 	if _, err := c.raw.Write(append(frame, msg...)); err != nil {
-		_ = c.Close() // a part of the frame may have been sent
-		return c.ended(err)
+		_ = c.Close() // the frame may have been sent in part
+		return c.mapError(err)
 	}
 	return nil
 }
 
 // Receive implements peer.Conn.
 func (c *conn) Receive(ctx context.Context) ([]byte, error) {
-	deadline, _ := ctx.Deadline() // the zero time is no deadline
+	deadline, _ := ctx.Deadline() // the zero time means no deadline
 	if err := c.raw.SetReadDeadline(deadline); err != nil {
-		return nil, c.ended(err)
+		return nil, c.mapError(err)
 	}
 	var prefix [lengthBytes]byte
 	if _, err := io.ReadFull(c.br, prefix[:]); err != nil {
-		return nil, c.ended(err)
+		return nil, c.mapError(err)
 	}
 	size := binary.BigEndian.Uint32(prefix[:])
 	if size > message.MaxSize {
@@ -181,13 +182,14 @@
 	}
 	msg := make([]byte, size)
 	if _, err := io.ReadFull(c.br, msg); err != nil {
-		return nil, c.ended(err)
+		return nil, c.mapError(err)
 	}
 	return msg, nil
 }
 
-// ended turns the end of a connection into peer.ErrClosed.
-func (c *conn) ended(err error) error {
+// mapError returns peer.ErrClosed if either side closed or reset the
+// connection, and err otherwise.
+func (c *conn) mapError(err error) error {
 	if c.closed.Load() || errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return peer.ErrClosed
@@ -195,7 +197,7 @@
 	return err
 }
 
-// Peer implements peer.Conn. Connections without keys prove no identity.
+// Peer implements peer.Conn. It is empty: plain TCP does not authenticate peers.
 func (c *conn) Peer() model.NodeID { return "" }
 
 // RemoteAddr implements peer.Conn.
--- a/transport/peer/tcp/tcp_test.go
+++ b/transport/peer/tcp/tcp_test.go
@@ -13,7 +13,8 @@
 	"github.com/jacinthgate/jacinthgate/transport/peer"
 )
 
-func open(t *testing.T) *Transport {
+// listen returns a transport on a free local port.
+func listen(t *testing.T) *Transport {
 	t.Helper()
 	cfg := DefaultConfig()
 	cfg.ListenAddr = "127.0.0.1:0"
@@ -23,67 +24,67 @@
 	return tr
 }
 
-// pair returns both ends of a connection.
+// pair returns the dialling transport and both ends of a connection.
 func pair(t *testing.T) (*Transport, peer.Conn, peer.Conn) {
 	t.Helper()
-	a, b := open(t), open(t)
-	there, err := a.Dial(context.Background(), b.Addr())
+	a, b := listen(t), listen(t)
+	dialled, err := a.Dial(context.Background(), b.Addr())
 	must.NoError(t, err)
-	back, err := b.Accept(context.Background())
+	accepted, err := b.Accept(context.Background())
 	must.NoError(t, err)
-	return a, there, back
+	return a, dialled, accepted
 }
 
 func TestMessagesArriveWholeAndInOrder(t *testing.T) {
-	_, there, back := pair(t)
+	_, dialled, accepted := pair(t)
 	large := make([]byte, 100<<10)
 	go func() {
-		_ = there.Send(context.Background(), []byte("first"))
-		_ = there.Send(context.Background(), large)
-		_ = there.Send(context.Background(), nil)
+		_ = dialled.Send(context.Background(), []byte("first"))
+		_ = dialled.Send(context.Background(), large)
+		_ = dialled.Send(context.Background(), nil)
 	}()
 	for _, want := range []string{"first", string(large), ""} {
-		got, err := back.Receive(context.Background())
+		got, err := accepted.Receive(context.Background())
 		must.NoError(t, err)
 		must.Eq(t, want, string(got))
 	}
 }
 
-func TestClosingEndsWhatWaits(t *testing.T) {
-	a, there, back := pair(t)
+func TestCloseEndsPendingCalls(t *testing.T) {
+	a, dialled, accepted := pair(t)
 	ended := make(chan error, 2)
-	go func() { _, err := there.Receive(context.Background()); ended <- err }()
+	go func() { _, err := dialled.Receive(context.Background()); ended <- err }()
 	go func() { _, err := a.Accept(context.Background()); ended <- err }()
 	must.NoError(t, a.Close())
 	must.ErrorIs(t, <-ended, peer.ErrClosed)
 	must.ErrorIs(t, <-ended, peer.ErrClosed)
-	_, err := back.Receive(context.Background())
+	_, err := accepted.Receive(context.Background())
 	must.ErrorIs(t, err, peer.ErrClosed)
-	must.ErrorIs(t, there.Send(context.Background(), []byte("x")), peer.ErrClosed)
+	must.ErrorIs(t, dialled.Send(context.Background(), []byte("x")), peer.ErrClosed)
 	_, err = a.Dial(context.Background(), a.Addr())
 	must.Error(t, err)
 }
 
 func TestReceiveEndsAtItsDeadline(t *testing.T) {
-	_, there, _ := pair(t)
+	_, dialled, _ := pair(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
-	_, err := there.Receive(ctx)
+	_, err := dialled.Receive(ctx)
 	timeout, ok := err.(net.Error)
 	must.True(t, ok)
 	must.True(t, timeout.Timeout())
 }
 
-func TestMessageThatIsTooLargeIsRefused(t *testing.T) {
-	b := open(t)
+func TestOversizeMessageIsRefused(t *testing.T) {
+	b := listen(t)
 	raw, err := net.Dial("tcp", b.Addr())
 	must.NoError(t, err)
 	defer raw.Close()
-	back, err := b.Accept(context.Background())
+	accepted, err := b.Accept(context.Background())
 	must.NoError(t, err)
 	_, err = raw.Write(binary.BigEndian.AppendUint32(nil, message.MaxSize+1))
 	must.NoError(t, err)
-	_, err = back.Receive(context.Background())
+	_, err = accepted.Receive(context.Background())
 	size, ok := err.(*message.SizeError)
 	must.True(t, ok)
 	must.Eq(t, message.MaxSize+1, size.Size)
