--- a/transport/link/link_test.go
+++ b/transport/link/link_test.go
@@ -203,16 +203,16 @@
 			if incarnation == 1 {
 				time.Sleep(simultaneousDialTimeouts*defaultHandshakeTimeout + 1)
 			}
-			restarted := start(t, net.Transport("a", "a:2"), "a", func(cfg *Config) {
+			reconnected := start(t, net.Transport("a", "a:2"), "a", func(cfg *Config) {
 				self := cfg.Self("")
 				self.Record.Incarnation = incarnation
 				cfg.Self = func(model.NodeID) message.Hello { return self }
 			}).record(t)
-			restarted.Connect("b", "b:1")
-			must.Eq(t, []string{"welcomed b 7"}, restarted.takeEvents())
+			reconnected.Connect("b", "b:1")
+			must.Eq(t, []string{"welcomed b 7"}, reconnected.takeEvents())
 			must.Eq(t, []string{"down a", "up a"}, b.takeEvents())
 			must.NoError(t, b.Send("a", message.Normal, fetch(1)))
-			must.Eq(t, []string{"fetch 1"}, restarted.takeEvents())
+			must.Eq(t, []string{"fetch 1"}, reconnected.takeEvents())
 			if incarnation == 2 {
 				a.Connect("b", "b:1")
 				must.Eq(t, "down b", a.takeEvents()[1])
