--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -58,7 +58,7 @@
 	cfg := link.DefaultConfig()
 	cfg.Transport = n.peers
 	cfg.Node = n.set.Node
-	cfg.Self = n.hello
+	cfg.Hello = n.hello
 	cfg.Welcome = n.welcome
 	cfg.Budget.BytesPerSecond = float64(n.set.Control.BytesPerSecond)
 	cfg.Budget.Burst = float64(n.set.Control.BurstBytes)
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -159,7 +159,7 @@
 	cfg.Budget = linkBudget()
 	cfg.Transport = n.peers
 	cfg.Node = n.set.Node
-	cfg.Self = func(to model.NodeID) message.Hello { return n.loop.hello(n.ctx, to) }
+	cfg.Hello = func(to model.NodeID) message.Hello { return n.loop.hello(n.ctx, to) }
 	cfg.Welcome = func(h *message.Hello) *message.Welcome { return n.loop.welcome(n.ctx, h) }
 	cfg.HandshakeTimeout = time.Second
 	cfg.SendTimeout = 2 * time.Second
--- a/transport/link/answered_test.go
+++ b/transport/link/answered_test.go
@@ -23,7 +23,7 @@
 		for _, to := range []model.NodeID{"b", ""} {
 			id := "a" + to
 			a := start(t, net.Transport(id, string(id)+":1"), id, func(c *Config) {
-				c.Self = func(to model.NodeID) message.Hello {
+				c.Hello = func(to model.NodeID) message.Hello {
 					record := endpoint.Record{Node: id, Incarnation: 1, PeerAddr: string(id) + ":1"}
 					return message.Hello{Protocol: message.ProtocolVersion, Record: record, To: to, LastHeld: 5}
 				}
--- a/transport/link/config.go
+++ b/transport/link/config.go
@@ -42,10 +42,10 @@
 	Transport peer.Transport
 	// Node is this node.
 	Node model.NodeID
-	// Self returns the Hello for a connection that is being opened to the node
+	// Hello returns the Hello for a connection that is being opened to the node
 	// to, which is empty for a seed. It is called from goroutines other than
 	// the event loop.
-	Self func(to model.NodeID) message.Hello
+	Hello func(to model.NodeID) message.Hello
 	// Welcome returns the response to a Hello, or nil to refuse the peer for
 	// now. It is called from goroutines other than the event loop.
 	Welcome func(h *message.Hello) *message.Welcome
--- a/transport/link/errors.go
+++ b/transport/link/errors.go
@@ -61,13 +61,13 @@
 type StaleError struct {
 	// Have is the incarnation of the refused connection.
 	Have uint64
-	// Known is the newer incarnation, which is connected.
-	Known uint64
+	// Current is the newer incarnation, which is connected.
+	Current uint64
 }
 
 // Error implements error.
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("incarnation %d is stale: %d is connected", e.Have, e.Known)
+	return fmt.Sprintf("incarnation %d is stale: %d is connected", e.Have, e.Current)
 }
 
 // NotWelcomeError reports a peer that was refused because Config.Welcome
--- a/transport/link/handshake.go
+++ b/transport/link/handshake.go
@@ -26,7 +26,7 @@
 
 // handshakeDialled sends Hello on a dialled connection and reads the Welcome.
 func (m *Manager) handshakeDialled(ctx context.Context, c peer.Conn, node model.NodeID) (*link, error) {
-	hello := m.cfg.Self(node)
+	hello := m.cfg.Hello(node)
 	if err := m.sendUnqueued(ctx, c, &hello); err != nil {
 		return nil, err
 	}
--- a/transport/link/link_test.go
+++ b/transport/link/link_test.go
@@ -42,7 +42,7 @@
 	cfg := DefaultConfig()
 	cfg.Transport, cfg.Node, cfg.Metrics = tr, id, n.metrics
 	cfg.Logger = log.NewLogfmtLogger(log.NewSyncWriter(&n.log))
-	cfg.Self = func(model.NodeID) message.Hello {
+	cfg.Hello = func(model.NodeID) message.Hello {
 		return message.Hello{Protocol: message.ProtocolVersion, Record: record}
 	}
 	cfg.Welcome = func(h *message.Hello) *message.Welcome {
@@ -204,9 +204,9 @@
 				time.Sleep(simultaneousDialTimeouts*defaultHandshakeTimeout + 1)
 			}
 			reconnected := start(t, net.Transport("a", "a:2"), "a", func(cfg *Config) {
-				self := cfg.Self("")
+				self := cfg.Hello("")
 				self.Record.Incarnation = incarnation
-				cfg.Self = func(model.NodeID) message.Hello { return self }
+				cfg.Hello = func(model.NodeID) message.Hello { return self }
 			}).record(t)
 			reconnected.Connect("b", "b:1")
 			must.Eq(t, []string{"welcomed b 7"}, reconnected.takeEvents())
@@ -242,9 +242,9 @@
 func TestRefusals(t *testing.T) {
 	hello := func(change func(*message.Hello)) func(*Config) {
 		return func(cfg *Config) {
-			h := cfg.Self("")
+			h := cfg.Hello("")
 			change(&h)
-			cfg.Self = func(model.NodeID) message.Hello { return h }
+			cfg.Hello = func(model.NodeID) message.Hello { return h }
 		}
 	}
 	tests := []struct {
--- a/transport/link/remote.go
+++ b/transport/link/remote.go
@@ -112,7 +112,7 @@
 		r = m.addRemote(record.Node)
 		first = true
 	} else if current := r.up.Record.Incarnation; current > record.Incarnation {
-		return nil, false, nil, &StaleError{Have: record.Incarnation, Known: current}
+		return nil, false, nil, &StaleError{Have: record.Incarnation, Current: current}
 	} else if r.closing || current < record.Incarnation || m.tooLateForSimultaneousDial(r) {
 		r.closeAll()
 		return nil, false, r.removed, nil
--- a/transport/peer/tcp/tcp.go
+++ b/transport/peer/tcp/tcp.go
@@ -37,14 +37,14 @@
 	ListenAddr string
 	// DialTimeout limits the time to open a connection.
 	DialTimeout time.Duration
-	// SilenceTimeout is how long sent data may stay unacknowledged before the
+	// UnackedTimeout is how long sent data may stay unacknowledged before the
 	// connection is closed. The kernel's own limit is many minutes.
-	SilenceTimeout time.Duration
+	UnackedTimeout time.Duration
 }
 
 // DefaultConfig returns the defaults, without an address.
 func DefaultConfig() Config {
-	return Config{DialTimeout: time.Second, SilenceTimeout: 3 * time.Second}
+	return Config{DialTimeout: time.Second, UnackedTimeout: 3 * time.Second}
 }
 
 // Transport implements peer.Transport over TCP.
@@ -107,7 +107,7 @@
 
 // add wraps a connection and tracks it until it is closed.
 func (t *Transport) add(raw net.Conn) (*conn, error) {
-	sockopt.SetUnackedTimeout(raw, t.cfg.SilenceTimeout)
+	sockopt.SetUnackedTimeout(raw, t.cfg.UnackedTimeout)
 	c := &conn{transport: t, raw: raw, br: bufio.NewReaderSize(raw, readBuffer)}
 	t.mu.Lock()
 	defer t.mu.Unlock()
