--- a/transport/link/remote.go
+++ b/transport/link/remote.go
@@ -152,9 +152,9 @@
 	return r
 }
 
-// closeSuperseded closes the connections that are not preferred. It waits for the
-// handshake timeout first, as the other side may still complete its handshake
-// and send on them until then.
+// closeSuperseded schedules the close of the connections that are not preferred,
+// one handshake timeout from now: until then the other side may still complete
+// its handshake and send on them.
 func (m *Manager) closeSuperseded(r *remote) {
 	keep := r.preferred(m.cfg.Node)
 	for _, l := range r.conns {
