--- a/transport/headpack/conn.go
+++ b/transport/headpack/conn.go
@@ -8,72 +8,77 @@
 	"sync"
 )
 
-// The kinds of frame.
+// Frame kinds: the first byte of a frame.
 const (
-	frameRaw  = 1 // bytes as they are
-	frameHead = 2 // an HPACK block that stands for a head
+	frameRaw  = 1 // unchanged bytes
+	frameHead = 2 // a head encoded as an HPACK block
 )
 
-// firstLetter is the least byte that a plain connection begins with.
-const firstLetter = 'A'
+// minPlainByte is the lowest first byte of a plain connection, and of a head.
+// Frame kinds are lower.
+const minPlainByte = 'A'
 
 const (
-	// readBuffer holds the largest frame of a head, in bytes.
+	// readBuffer is the size of the read buffer, in bytes. The largest frame of a
+	// head fits in it.
 	readBuffer = 8 << 10
-	// maxBlock bounds the block of a head, in bytes.
+	// maxBlock bounds the HPACK block of a head, in bytes.
 	maxBlock = readBuffer - 1 - binary.MaxVarintLen64
-	// maxPacked bounds the heads that are packed, in bytes, so that no block is
-	// too large: HPACK adds a few bytes to a field at most.
+	// maxPacked is the size of the largest head that is packed, in bytes. It keeps
+	// blocks below maxBlock, as HPACK adds at most a few bytes to a field.
 	maxPacked = 4 << 10
-	// copied is the size up to which bytes that are written are copied behind
-	// their frame's head, so that they leave in one piece.
-	copied = 8 << 10
+	// maxCopiedBody is the size, in bytes, up to which the payload of a raw frame
+	// is copied behind the frame's header, so that one write sends both.
+	maxCopiedBody = 8 << 10
 )
 
-// Conn is a packed connection. One goroutine may read and another one write.
+// Conn is a connection that packs the heads written to it and unpacks those that
+// it receives. One goroutine may read while another one writes.
 type Conn struct {
 	net.Conn
 
-	r       *bufio.Reader
-	started bool // the first byte was seen
-	plain   bool // the other end doesn't pack
-	decoder *decoder
-	head    []byte // decoded and not read yet
-	raw     uint64 // bytes of a raw frame that are still to come
-
-	mu      sync.Mutex // guards what follows
-	packs   bool       // what is written is packed
-	encoder *encoder
-	out     []byte
+	r            *bufio.Reader
+	peerDetected bool // the first byte has been received: plain is set
+	plain        bool // the peer doesn't pack
+	decoder      *decoder
+	head         []byte // the part of a decoded head that is still unread
+	rawRemaining uint64 // unread bytes of the current raw frame
+
+	mu         sync.Mutex // guards the fields below
+	packWrites bool       // written bytes are packed
+	encoder    *encoder
+	out        []byte
 }
 
-// Client wraps a connection that this node has opened to another node.
+// Client wraps a connection that this node has opened to another node. It packs
+// from the first byte on.
 func Client(c net.Conn) *Conn {
-	return &Conn{Conn: c, r: bufio.NewReaderSize(c, readBuffer), packs: true}
+	return &Conn{Conn: c, r: bufio.NewReaderSize(c, readBuffer), packWrites: true}
 }
 
-// Server wraps a connection that was accepted. It is packed where the other end
-// packs.
+// Server wraps an accepted connection. It packs once the first byte received shows
+// that the client packs.
 func Server(c net.Conn) *Conn { return &Conn{Conn: c, r: bufio.NewReaderSize(c, readBuffer)} }
 
-// Pending reports whether bytes were received that nobody has read.
-func (c *Conn) Pending() bool { return len(c.head) > 0 || c.raw > 0 || c.r.Buffered() > 0 }
+// Pending reports whether received bytes are still unread.
+func (c *Conn) Pending() bool { return len(c.head) > 0 || c.rawRemaining > 0 || c.r.Buffered() > 0 }
 
-// Read implements net.Conn. Beside the connection's errors it returns a
-// *FrameError. A read that ended at a deadline can be taken up again.
+// Read implements net.Conn. Besides the errors of the underlying connection it
+// returns a *FrameError for an invalid frame. Reading can go on after a deadline
+// has expired.
 func (c *Conn) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
-	if !c.started {
-		if err := c.start(); err != nil {
+	if !c.peerDetected {
+		if err := c.detectPeer(); err != nil {
 			return 0, err
 		}
 	}
 	if c.plain {
 		return c.r.Read(p)
 	}
-	for len(c.head) == 0 && c.raw == 0 {
+	for len(c.head) == 0 && c.rawRemaining == 0 {
 		if err := c.nextFrame(); err != nil {
 			return 0, err
 		}
@@ -83,33 +88,34 @@
 		c.head = c.head[n:]
 		return n, nil
 	}
-	if uint64(len(p)) > c.raw {
-		p = p[:c.raw]
+	if uint64(len(p)) > c.rawRemaining {
+		p = p[:c.rawRemaining]
 	}
 	n, err := c.r.Read(p)
-	c.raw -= uint64(n)
+	c.rawRemaining -= uint64(n)
 	return n, err
 }
 
-// start looks at the first byte, which tells whether the other end packs.
-func (c *Conn) start() error {
+// detectPeer waits for the first byte and derives from it whether the peer packs.
+func (c *Conn) detectPeer() error {
 	first, err := c.r.Peek(1)
 	if err != nil {
 		return err
 	}
-	c.started = true
-	c.plain = first[0] >= firstLetter
+	c.peerDetected = true
+	c.plain = first[0] >= minPlainByte
 	if !c.plain {
 		c.decoder = newDecoder()
 		c.mu.Lock()
-		c.packs = true
+		c.packWrites = true
 		c.mu.Unlock()
 	}
 	return nil
 }
 
-// nextFrame reads the next frame's kind and length, and all of a head. Nothing
-// is taken from the buffer before it is there whole.
+// nextFrame reads the header of the next frame, and for a head its payload too. It
+// removes nothing from the buffer before all of this has arrived, so that a read
+// interrupted by a deadline can be repeated.
 func (c *Conn) nextFrame() error {
 	kind, length, start, err := c.peekFrame()
 	if err != nil {
@@ -118,25 +124,26 @@
 	switch kind {
 	case frameRaw:
 		c.discard(start)
-		c.raw = length
+		c.rawRemaining = length
 		return nil
 	case frameHead:
 		if length > maxBlock {
 			return lengthError(length)
 		}
-		whole, err := c.r.Peek(start + int(length))
+		frame, err := c.r.Peek(start + int(length))
 		if err != nil {
 			return err
 		}
-		c.head, err = c.decoder.decode(whole[start:])
-		c.discard(len(whole))
+		c.head, err = c.decoder.decode(frame[start:])
+		c.discard(len(frame))
 		return err
 	default:
-		return &FrameError{What: "a frame of no known kind"}
+		return &FrameError{What: "unknown frame kind"}
 	}
 }
 
-// peekFrame reads a frame's kind and length, and where its bytes begin.
+// peekFrame returns the next frame's kind, the length of its payload in bytes and
+// the payload's offset in the buffer, and removes nothing from the buffer.
 func (c *Conn) peekFrame() (kind byte, length uint64, start int, err error) {
 	for size := 2; size <= 1+binary.MaxVarintLen64; size++ {
 		b, err := c.r.Peek(size)
@@ -151,17 +158,17 @@
 			break
 		}
 	}
-	return 0, 0, 0, &FrameError{What: "a length that is too large"}
+	return 0, 0, 0, &FrameError{What: "frame length is too large"}
 }
 
-// discard takes bytes that were peeked at.
-func (c *Conn) discard(n int) { _, _ = c.r.Discard(n) } // they are in the buffer
+// discard removes n bytes that were peeked at from the buffer.
+func (c *Conn) discard(n int) { _, _ = c.r.Discard(n) } // can't fail: the bytes are buffered
 
 // Write implements net.Conn.
 func (c *Conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.packs {
+	if !c.packWrites {
 		return c.Conn.Write(p)
 	}
 	if len(p) == 0 {
@@ -172,26 +179,27 @@
 	if len(body) > 0 {
 		c.out = binary.AppendUvarint(append(c.out, frameRaw), uint64(len(body)))
 	}
-	small := len(body) <= copied
-	if small {
+	copyBody := len(body) <= maxCopiedBody
+	if copyBody {
 		c.out = append(c.out, body...)
 	}
 	if _, err := c.Conn.Write(c.out); err != nil {
 		return 0, err
 	}
-	if small {
+	if copyBody {
 		return len(p), nil
 	}
 	n, err := c.Conn.Write(body)
 	return len(p) - len(body) + n, err
 }
 
-// closeWriter is a connection of which one direction can be closed.
+// closeWriter is a connection whose write side can be closed alone.
 type closeWriter interface{ CloseWrite() error }
 
-// CloseWrite closes the direction that this end writes, which servers do before
-// they close a connection with bytes that they haven't read. Where that can't be
-// done alone it does nothing; Close follows.
+// CloseWrite closes the write side of the connection. HTTP servers half-close a
+// connection with unread bytes in this way before they close it. If the
+// underlying connection can't be half-closed, CloseWrite does nothing; the Close
+// that follows ends the connection.
 func (c *Conn) CloseWrite() error {
 	if half, ok := c.Conn.(closeWriter); ok {
 		return half.CloseWrite()
@@ -199,10 +207,11 @@
 	return nil
 }
 
-// packHead packs the head that p begins with, and returns its length in p; 0
-// where there is none.
+// packHead appends the frame of the head at the start of p to c.out, and returns
+// the length of the head in p, in bytes. It returns 0 if p doesn't begin with a
+// head that can be packed.
 func (c *Conn) packHead(p []byte) int {
-	if p[0] < firstLetter {
+	if p[0] < minPlainByte {
 		return 0
 	}
 	end := bytes.Index(p[:min(len(p), maxPacked)], []byte(headEnd))
@@ -222,7 +231,7 @@
 	return end
 }
 
-// Listener accepts packed connections and plain ones.
+// Listener accepts packed and plain connections, and wraps each with Server.
 type Listener struct{ net.Listener }
 
 // Accept implements net.Listener.
--- a/transport/headpack/decode.go
+++ b/transport/headpack/decode.go
@@ -4,14 +4,15 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// maxHead bounds a decoded head, in bytes. Writers pack smaller ones only; a
-// block may refer to large fields many times.
+// maxHead bounds a decoded head, in bytes. Writers only pack smaller heads, but a
+// received block may refer to a large table entry many times.
 const maxHead = 2 * maxPacked
 
-// decoder decodes heads. It is not safe for concurrent use.
+// decoder restores the heads that a connection receives from their HPACK blocks. It
+// is not safe for concurrent use.
 type decoder struct {
 	hpack *hpack.Decoder
-	head  []byte // the head so far
+	head  []byte // the part of the current head decoded so far
 	fault error
 }
 
@@ -22,8 +23,8 @@
 	return d
 }
 
-// decode returns the head of a block, which is valid until the next call. The
-// error is a *FrameError.
+// decode returns the head that a block encodes; the head is valid until the next
+// call. The error is a *FrameError.
 func (d *decoder) decode(block []byte) ([]byte, error) {
 	d.head, d.fault = d.head[:0], nil
 	_, err := d.hpack.Write(block)
@@ -31,7 +32,7 @@
 		err = d.hpack.Close()
 	}
 	if err != nil {
-		return nil, &FrameError{What: "a block that can't be decoded", Err: err}
+		return nil, &FrameError{What: "HPACK block can't be decoded", Err: err}
 	}
 	if d.fault != nil {
 		return nil, d.fault
@@ -39,7 +40,8 @@
 	return append(d.head, lineEnd...), nil
 }
 
-// emit appends a field to the head.
+// emit appends a decoded field to the head, or sets d.fault if the head would
+// exceed maxHead.
 func (d *decoder) emit(f hpack.HeaderField) {
 	if len(d.head)+len(f.Name)+len(f.Value) > maxHead {
 		d.fault = lengthError(uint64(len(d.head) + len(f.Value)))
--- a/transport/headpack/encode.go
+++ b/transport/headpack/encode.go
@@ -8,12 +8,13 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Names of the fields that stand for parts of a message's first line. No header
-// has a name that begins with a colon: splitHead refuses those.
+// Names of the HPACK fields that carry the parts of a message's first line. They
+// can't collide with a header: splitHead rejects header names that begin with a
+// colon.
 const (
 	fieldMethod = ":m"
-	fieldDir    = ":d" // the path up to its last slash: routes share it
-	fieldRest   = ":r" // what follows
+	fieldDir    = ":d" // the path up to its last slash, which requests of a route share
+	fieldRest   = ":r" // the rest of the path, and the query
 	fieldStatus = ":s" // status code and text
 )
 
@@ -24,60 +25,65 @@
 	valueSep = ": "
 )
 
-// tableBytes is the size of a connection's table at either end. A fleet's
-// hosts, routes, services and instances are some 60 fields of 70 bytes.
+// tableBytes is the size of the HPACK dynamic table at either end of a connection,
+// in bytes. The hosts, routes, services and instances of a fleet are some 60
+// fields of 70 bytes.
 const tableBytes = 4 << 10
 
-// entryOverhead is what HPACK counts for a table's entry beside its texts
-// (RFC 7541, section 4.1).
+// entryOverhead is the size that HPACK adds to the name and value of a table entry,
+// in bytes (RFC 7541, section 4.1).
 const entryOverhead = 32
 
 const (
-	// recentValues is the number of a name's last values among which a
-	// repetition is looked for: callers of a host use a handful of routes.
+	// recentValues is the number of distinct recent values of a field name with
+	// which a new value is compared: callers of a host use a handful of routes.
 	recentValues = 8
-	// maxNames bounds the names that an encoder follows; others are sent whole.
-	maxNames = 64
+	// maxTrackedNames bounds the field names that an encoder tracks; fields with
+	// other names are sent in full.
+	maxTrackedNames = 64
 )
 
-// value is a value that a name has had.
-type value struct {
-	hash uint64
-	at   int // where in the table's history it was last entered
+// recentValue is a recent value of a field name, identified by its hash.
+type recentValue struct {
+	hash       uint64
+	insertedAt int // e.inserted just before its last insertion into the table
 }
 
-// name is what an encoder knows of a field's name.
-type name struct {
-	at     int // where in the table's history it was last entered
-	recent [recentValues]value
-	next   int // the place in recent of the next new value
-	seen   int // values
-	hits   int // values that were among the recent ones
+// nameHistory holds the recent values of a field name and how often they repeat.
+// The encoder uses it to decide which fields to insert into the dynamic table.
+type nameHistory struct {
+	insertedAt int // e.inserted just before its last insertion into the table
+	recent     [recentValues]recentValue
+	next       int // new values so far; modulo recentValues the next index in recent
+	seen       int // values recorded
+	hits       int // recorded values that were among the recent ones
 }
 
-// never is where something was entered that never was.
-const never = -tableBytes - 1
+// neverInserted is the insertion point of a name or value that was never inserted:
+// inTable is false for it.
+const neverInserted = -tableBytes - 1
 
-// encoder encodes heads. It is not safe for concurrent use.
+// encoder encodes the heads that a connection sends as HPACK blocks. It is not safe
+// for concurrent use.
 type encoder struct {
-	out     bytes.Buffer
-	hpack   *hpack.Encoder
-	seed    maphash.Seed
-	names   map[string]*name
-	entered int // bytes entered into the table so far
+	out      bytes.Buffer
+	hpack    *hpack.Encoder
+	seed     maphash.Seed
+	names    map[string]*nameHistory
+	inserted int // total size of the entries inserted into the table so far, in bytes
 }
 
 func newEncoder() *encoder {
-	e := &encoder{seed: maphash.MakeSeed(), names: make(map[string]*name)}
+	e := &encoder{seed: maphash.MakeSeed(), names: make(map[string]*nameHistory)}
 	e.hpack = hpack.NewEncoder(&e.out)
 	e.hpack.SetMaxDynamicTableSizeLimit(tableBytes)
 	e.hpack.SetMaxDynamicTableSize(tableBytes)
 	return e
 }
 
-// encode returns the block for a head, which is valid until the next call. It
-// reports false, and has encoded nothing, where the head would not come out the
-// same.
+// encode returns the HPACK block of a head; the block is valid until the next call.
+// It returns false and encodes nothing if decoding would not restore the head
+// byte for byte.
 func (e *encoder) encode(head string) ([]byte, bool) {
 	fields, ok := splitHead(head)
 	if !ok {
@@ -85,43 +91,49 @@
 	}
 	e.out.Reset()
 	for _, f := range fields {
-		f.Sensitive = !e.enter(f)
-		_ = e.hpack.WriteField(f) // a buffer takes all
+		f.Sensitive = !e.chooseIndexing(f)
+		_ = e.hpack.WriteField(f) // writing to a bytes.Buffer can't fail
 	}
 	return e.out.Bytes(), true
 }
 
-// enter decides whether a field may enter the table: where its name isn't there,
-// and where its values repeat. Ids and paths would push out what does. A field
-// that is there already is told to be entered too, which only refers to it.
-func (e *encoder) enter(f hpack.HeaderField) bool {
+// chooseIndexing records a field and reports whether HPACK may index it. A field is
+// inserted into the dynamic table if the table has no entry inserted for its name,
+// or if its value repeats and at least half of the name's values have done so:
+// otherwise ids and paths would evict the fields that repeat. The result is also
+// true for a field that the table holds already; HPACK then only refers to it.
+// Fields larger than a quarter of the table, and those whose name isn't tracked,
+// are never indexed.
+func (e *encoder) chooseIndexing(f hpack.HeaderField) bool {
 	size := len(f.Name) + len(f.Value) + entryOverhead
 	n := e.names[f.Name]
-	if size > tableBytes/4 || (n == nil && len(e.names) >= maxNames) {
+	if size > tableBytes/4 || (n == nil && len(e.names) >= maxTrackedNames) {
 		return false
 	}
 	if n == nil {
-		n = &name{at: never}
+		n = &nameHistory{insertedAt: neverInserted}
 		e.names[f.Name] = n
 	}
-	v, repeats := n.note(maphash.String(e.seed, f.Value))
+	v, repeats := n.recordValue(maphash.String(e.seed, f.Value))
 	switch {
-	case e.holds(v.at):
+	case e.inTable(v.insertedAt):
 		return true
-	case e.holds(n.at) && !(repeats && 2*n.hits >= n.seen):
+	case e.inTable(n.insertedAt) && !(repeats && 2*n.hits >= n.seen):
 		return false
 	}
-	v.at, n.at = e.entered, e.entered
-	e.entered += size
+	v.insertedAt, n.insertedAt = e.inserted, e.inserted
+	e.inserted += size
 	return true
 }
 
-// holds reports whether the table still holds what was entered at a point of its
-// history: it drops the oldest entries once it is over its size.
-func (e *encoder) holds(at int) bool { return e.entered-at <= tableBytes }
+// inTable reports whether the table still holds the entry inserted at the given
+// point (the value of e.inserted just before). A full table evicts its oldest
+// entries.
+func (e *encoder) inTable(at int) bool { return e.inserted-at <= tableBytes }
 
-// note takes a value's hash and reports whether it was among the last ones.
-func (n *name) note(hash uint64) (*value, bool) {
+// recordValue records the hash of a value. It returns the entry of the value among
+// the recent ones, and whether the value was there already.
+func (n *nameHistory) recordValue(hash uint64) (*recentValue, bool) {
 	n.seen++
 	for i := range n.recent {
 		if v := &n.recent[i]; v.hash == hash && i < n.next {
@@ -130,13 +142,13 @@
 		}
 	}
 	v := &n.recent[n.next%recentValues]
-	*v = value{hash: hash, at: never}
+	*v = recentValue{hash: hash, insertedAt: neverInserted}
 	n.next++
 	return v, false
 }
 
-// splitHead takes a head apart, which ends with an empty line. It reports false
-// where a decoder would not give the same bytes.
+// splitHead splits a head, including the empty line at its end, into HPACK fields.
+// It returns false if a decoder would not restore the same bytes.
 func splitHead(head string) ([]hpack.HeaderField, bool) {
 	line, rest, ok := strings.Cut(strings.TrimSuffix(head, lineEnd), lineEnd)
 	if !ok {
@@ -159,7 +171,8 @@
 	return fields, true
 }
 
-// splitFirst takes a message's first line apart.
+// splitFirst appends the HPACK fields of a message's first line. It returns false
+// if the line is neither a request line nor a status line of HTTP/1.1.
 func splitFirst(fields []hpack.HeaderField, line string) ([]hpack.HeaderField, bool) {
 	if status, ok := strings.CutPrefix(line, version+" "); ok {
 		return append(fields, hpack.HeaderField{Name: fieldStatus, Value: status}), true
--- a/transport/headpack/errors.go
+++ b/transport/headpack/errors.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// FrameError reports bytes that are no frame of this package.
+// FrameError reports received bytes that aren't a valid frame.
 type FrameError struct {
-	// What is wrong with them.
+	// What describes the fault.
 	What string
 	// Err is the cause; nil when there is none.
 	Err error
@@ -21,6 +21,8 @@
 // Unwrap returns the cause.
 func (e *FrameError) Unwrap() error { return e.Err }
 
+// lengthError returns the error for a head, or its encoded block, of n bytes,
+// which is over the limit.
 func lengthError(n uint64) error {
-	return &FrameError{What: "a head of " + strconv.FormatUint(n, 10) + " bytes"}
+	return &FrameError{What: "head of " + strconv.FormatUint(n, 10) + " bytes is too large"}
 }
--- a/transport/headpack/headpack_test.go
+++ b/transport/headpack/headpack_test.go
@@ -17,20 +17,20 @@
 	"github.com/shoenig/test/must"
 )
 
-// countedConn counts what is written to it.
-type countedConn struct {
+// countingConn counts the bytes written to it.
+type countingConn struct {
 	net.Conn
 	written int
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	c.written += len(p)
 	return c.Conn.Write(p)
 }
 
-// pair returns both ends of a packed connection, and what the client's end
-// counts.
-func pair(t *testing.T) (client, server *Conn, sent *countedConn) {
+// connPair returns both ends of a packed connection, and the client's underlying
+// connection, which counts the bytes that it sends.
+func connPair(t *testing.T) (client, server *Conn, sent *countingConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -40,13 +40,13 @@
 	b, err := ln.Accept()
 	must.NoError(t, err)
 	t.Cleanup(func() { _, _ = a.Close(), b.Close() })
-	sent = &countedConn{Conn: a}
+	sent = &countingConn{Conn: a}
 	return Client(sent), Server(b), sent
 }
 
-// pass writes p at one end, reads as many bytes at the other and checks that
-// they are the same.
-func pass(t *testing.T, from, to *Conn, p []byte) {
+// transfer writes p at one end, reads as many bytes at the other and checks that
+// they are equal.
+func transfer(t *testing.T, from, to *Conn, p []byte) {
 	t.Helper()
 	done := make(chan error, 1)
 	go func() {
@@ -61,8 +61,8 @@
 	must.False(t, to.Pending())
 }
 
-// request is a head as nodes send it; ids and times differ from one to the next.
-func request(rnd *rand.Rand) string {
+// requestHead returns a request's head as nodes send it, with random ids and times.
+func requestHead(rnd *rand.Rand) string {
 	hosts := []string{"screens.example", "desk.example"}
 	id := func() string { return strconv.FormatUint(rnd.Uint64()|1<<63, 16) }
 	return "GET /status/" + id()[:6] + " HTTP/1.1\r\nHost: " + hosts[rnd.IntN(2)] +
@@ -73,7 +73,8 @@
 		"\r\nX-Deadline-Ms: " + strconv.Itoa(rnd.IntN(1000)) + "\r\nX-Request-Id: " + id() + "\r\n\r\n"
 }
 
-func response(rnd *rand.Rand) string {
+// responseHead returns a response's head as nodes send it, with random ids and times.
+func responseHead(rnd *rand.Rand) string {
 	return "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(rnd.IntN(9000)) +
 		"\r\nContent-Type: application/octet-stream\r\nDate: Wed, 02 Dec 2026 21:04:" + strconv.Itoa(10+rnd.IntN(50)) + " GMT" +
 		"\r\nJacinthgate-Load: " + strconv.Itoa(rnd.IntN(9)) + "/9/0/" + strconv.Itoa(rnd.IntN(200000)) +
@@ -81,42 +82,43 @@
 		"\r\nX-Request-Id: " + strconv.FormatUint(rnd.Uint64()|1<<63, 16) + "\r\n\r\n"
 }
 
-// Heads between two nodes are 352 and 271 bytes as text here. Packed they take 58
-// and 72 in the mean over a hundred on one connection, the first ones included.
+// The heads of requests and responses take 352 and 271 bytes as text here. Packed
+// they take 58 and 72 bytes, the mean over a hundred heads on one connection
+// including the first.
 func TestHeadsBecomeSmall(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for _, tc := range []struct {
-		head func(*rand.Rand) string
-		most int
-	}{{request, 75}, {response, 80}} {
-		client, server, sent := pair(t)
+		head    func(*rand.Rand) string
+		maxMean int
+	}{{requestHead, 75}, {responseHead, 80}} {
+		client, server, sent := connPair(t)
 		plain := 0
 		const heads = 100
 		for range heads {
 			head := tc.head(rnd)
 			plain += len(head)
-			pass(t, client, server, []byte(head))
+			transfer(t, client, server, []byte(head))
 		}
 		t.Logf("%d bytes plain, %d packed", plain/heads, sent.written/heads)
-		must.Less(t, tc.most, sent.written/heads)
+		must.Less(t, tc.maxMean, sent.written/heads)
 	}
 }
 
-// Values that don't repeat don't push out those that do.
-func TestTableKeepsWhatRepeats(t *testing.T) {
+// Fields whose values don't repeat must not evict those that do from the table.
+func TestTableKeepsRepeatingFields(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
-	client, server, sent := pair(t)
+	client, server, sent := connPair(t)
 	for range 2000 {
-		pass(t, client, server, []byte(request(rnd)))
+		transfer(t, client, server, []byte(requestHead(rnd)))
 	}
 	before := sent.written
-	pass(t, client, server, []byte(request(rnd)))
+	transfer(t, client, server, []byte(requestHead(rnd)))
 	must.Less(t, 75, sent.written-before)
 }
 
-// What is no head passes as it is, and so does a head that would not come out
-// the same.
-func TestOtherBytesPassAsTheyAre(t *testing.T) {
+// Bytes that aren't a head, and heads that decoding would not restore exactly, are
+// sent unchanged.
+func TestNonHeadsPassUnchanged(t *testing.T) {
 	for _, text := range []string{
 		"x", "\x01\x02\x00", strings.Repeat("A", 100_000), "GET / HTTP/1.1\r\nHost: h\r\n", "GET / HTTP/1.0\r\n\r\n",
 		"GET / HTTP/1.1\r\nNo-Space:v\r\n\r\n", "GET / HTTP/1.1\r\n:m: x\r\n\r\n", "HTTP/1.1 \r\n\r\n", " HTTP/1.1\r\n\r\n",
@@ -124,16 +126,16 @@
 		"GET / HTTP/1.1\r\nLong: " + strings.Repeat("v", 5000) + "\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nHTTP/1.1 2", "HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\n\r\n",
 	} {
-		client, server, _ := pair(t)
+		client, server, _ := connPair(t)
 		for range 3 {
-			pass(t, client, server, []byte(text))
-			pass(t, server, client, []byte(text))
+			transfer(t, client, server, []byte(text))
+			transfer(t, server, client, []byte(text))
 		}
 	}
 }
 
-// A server answers whoever doesn't pack without packing.
-func TestPlainPeerIsAnsweredPlainly(t *testing.T) {
+// A server doesn't pack its responses to a client that doesn't pack.
+func TestPlainClientGetsPlainResponse(t *testing.T) {
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(w, r.Body)
 	}))
@@ -150,13 +152,14 @@
 	}
 }
 
-// A read that ends at its deadline loses nothing: servers end reads so.
-func TestReadIsTakenUpAgain(t *testing.T) {
-	client, server, sent := pair(t)
+// A read that ends at its deadline loses no bytes. HTTP servers interrupt reads by
+// setting a deadline.
+func TestReadResumesAfterDeadline(t *testing.T) {
+	client, server, sent := connPair(t)
 	var wire bytes.Buffer
-	record := Client(&writerConn{&wire})
-	head := request(rand.New(rand.NewPCG(5, 6)))
-	_, err := record.Write([]byte(head + "body"))
+	packer := Client(&writeOnlyConn{&wire})
+	head := requestHead(rand.New(rand.NewPCG(5, 6)))
+	_, err := packer.Write([]byte(head + "body"))
 	must.NoError(t, err)
 	var got []byte
 	for _, b := range wire.Bytes() {
@@ -178,51 +181,53 @@
 	_ = client
 }
 
-// writerConn is a connection that only takes.
-type writerConn struct{ io.Writer }
+// writeOnlyConn is a connection whose writes go to an io.Writer; reads return
+// io.EOF.
+type writeOnlyConn struct{ io.Writer }
 
-func (writerConn) Read([]byte) (int, error)         { return 0, io.EOF }
-func (writerConn) Close() error                     { return nil }
-func (writerConn) LocalAddr() net.Addr              { return nil }
-func (writerConn) RemoteAddr() net.Addr             { return nil }
-func (writerConn) SetDeadline(time.Time) error      { return nil }
-func (writerConn) SetReadDeadline(time.Time) error  { return nil }
-func (writerConn) SetWriteDeadline(time.Time) error { return nil }
+func (writeOnlyConn) Read([]byte) (int, error)         { return 0, io.EOF }
+func (writeOnlyConn) Close() error                     { return nil }
+func (writeOnlyConn) LocalAddr() net.Addr              { return nil }
+func (writeOnlyConn) RemoteAddr() net.Addr             { return nil }
+func (writeOnlyConn) SetDeadline(time.Time) error      { return nil }
+func (writeOnlyConn) SetReadDeadline(time.Time) error  { return nil }
+func (writeOnlyConn) SetWriteDeadline(time.Time) error { return nil }
 
-// readerConn is a connection that only gives.
-type readerConn struct {
-	writerConn
+// readOnlyConn is a connection that reads from an io.Reader.
+type readOnlyConn struct {
+	writeOnlyConn
 	r io.Reader
 }
 
-func (c readerConn) Read(p []byte) (int, error) { return c.r.Read(p) }
+func (c readOnlyConn) Read(p []byte) (int, error) { return c.r.Read(p) }
 
-// Whatever is written comes out the same, however it is cut into pieces.
-func FuzzBytesComeOutTheSame(f *testing.F) {
+// The bytes written are restored exactly, whatever the size of the writes.
+func FuzzRoundTrip(f *testing.F) {
 	rnd := rand.New(rand.NewPCG(7, 8))
-	f.Add([]byte(request(rnd)+response(rnd)+request(rnd)+"body"), uint16(30))
+	f.Add([]byte(requestHead(rnd)+responseHead(rnd)+requestHead(rnd)+"body"), uint16(30))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nA: b\r\n\r\n\x02\x01GET / HTTP/1.1\r\n\r\n"), uint16(3))
 	f.Fuzz(func(t *testing.T, text []byte, piece uint16) {
 		var wire bytes.Buffer
-		c := Client(&writerConn{&wire})
+		c := Client(&writeOnlyConn{&wire})
 		for rest := text; len(rest) > 0; {
 			n := min(len(rest), int(piece)+1)
 			_, err := c.Write(rest[:n])
 			must.NoError(t, err)
 			rest = rest[n:]
 		}
-		got, err := io.ReadAll(Server(readerConn{r: &wire}))
+		got, err := io.ReadAll(Server(readOnlyConn{r: &wire}))
 		must.NoError(t, err)
 		must.Eq(t, string(text), string(got))
 	})
 }
 
-// Whatever arrives is read or refused.
-func FuzzAnyBytesAreRead(f *testing.F) {
+// Arbitrary input is either decoded or rejected with a *FrameError or
+// io.ErrUnexpectedEOF.
+func FuzzReadArbitraryBytes(f *testing.F) {
 	f.Add([]byte{frameHead, 1, 0x82})
 	f.Add([]byte{frameRaw, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1})
 	f.Fuzz(func(t *testing.T, wire []byte) {
-		_, err := io.Copy(io.Discard, Server(readerConn{r: bytes.NewReader(wire)}))
+		_, err := io.Copy(io.Discard, Server(readOnlyConn{r: bytes.NewReader(wire)}))
 		var frame *FrameError
 		must.True(t, err == nil || errors.As(err, &frame) || errors.Is(err, io.ErrUnexpectedEOF))
 	})
@@ -232,7 +237,7 @@
 	rnd := rand.New(rand.NewPCG(1, 2))
 	heads := make([]string, 64)
 	for i := range heads {
-		heads[i] = request(rnd)
+		heads[i] = requestHead(rnd)
 	}
 	e, d := newEncoder(), newDecoder()
 	b.ReportAllocs()
@@ -242,9 +247,9 @@
 	}
 }
 
-// A server that answers before it has read a request's body half-closes the
-// connection and lingers; closed at once with unread bytes the kernel would reset
-// it, and the refusal on it would be lost.
+// A server that responds before it has read a request's body half-closes the
+// connection and closes it later. If it closed the connection at once, with unread
+// bytes, the kernel would reset it and the client could lose the refusal.
 func TestRefusalBeforeTheBodyIsReadArrives(t *testing.T) {
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
--- a/transport/operatorapi/body.go
+++ b/transport/operatorapi/body.go
@@ -11,19 +11,20 @@
 	"github.com/jacinthgate/jacinthgate/state/strictjson"
 )
 
-// bodyTimeout bounds reading a request's body, so that a slow sender can't hold
-// a connection.
+// bodyTimeout bounds the time to read a request's body, so that a slow client can't
+// occupy a connection.
 const bodyTimeout = 10 * time.Second
 
-// batchPath is where the documents of a change are in its request.
+// batchPath is the JSON path of a change's documents in its request.
 const batchPath = "batch"
 
-// readJSON decodes the body as strictly as documents: unknown or double keys,
-// nulls and trailing data are refused, all at once.
+// readJSON decodes a request's body as strictly as documents are decoded: it rejects
+// unknown or duplicate keys, nulls and trailing data, and reports all faults at
+// once.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) error {
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))    // without one the read is only slower to fail
-	defer func() { _ = control.SetReadDeadline(time.Time{}) }() // the server sets its own for the next request
+	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))    // without a deadline a slow read only fails later
+	defer func() { _ = control.SetReadDeadline(time.Time{}) }() // the server sets its own deadline for the next request
 	raw, err := io.ReadAll(io.LimitReader(r.Body, operator.MaxBody+1))
 	if err != nil {
 		return malformed("body: " + err.Error())
@@ -37,8 +38,9 @@
 	return nil
 }
 
-// bodyProblem reports the faults of a body: invalid where only the documents
-// have some, as a check of the documents alone would find them too.
+// bodyProblem returns the problem for a body with faults. Its code is CodeInvalid if
+// all faults are in the documents, as a check of the documents alone would find
+// them too, and CodeMalformed otherwise.
 func bodyProblem(faults strictjson.Faults) *operator.Problem {
 	p := &operator.Problem{Code: operator.CodeInvalid, Message: "the documents have faults"}
 	for _, f := range faults {
@@ -50,6 +52,7 @@
 	return p
 }
 
+// malformed returns a problem with CodeMalformed.
 func malformed(message string) *operator.Problem {
 	return &operator.Problem{Code: operator.CodeMalformed, Message: message}
 }
--- a/transport/operatorapi/handler.go
+++ b/transport/operatorapi/handler.go
@@ -1,5 +1,5 @@
-// Package operatorapi serves a node's operator interface over HTTP. What the
-// calls do is the Delegate's part.
+// Package operatorapi serves a node's operator interface over HTTP. It checks the
+// requests and leaves the operations to a Delegate.
 package operatorapi
 
 import (
@@ -16,29 +16,32 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Delegate carries out the calls. Its errors are *operator.Problem; any other
-// error is reported as refused. Implementations are safe for concurrent use.
+// Delegate carries out the operations of the interface. Its errors are
+// *operator.Problem; any other error is reported with operator.CodeRefused.
+// Implementations are safe for concurrent use.
 type Delegate interface {
-	// Apply accepts a change or refuses it.
+	// Apply accepts or rejects a change.
 	Apply(ctx context.Context, req *operator.ApplyRequest) (*operator.ApplyResponse, error)
-	// Documents returns the documents held; empty kind or name select all.
+	// Documents returns the documents that the node holds; an empty kind or name
+	// selects all.
 	Documents(kind, name string) (*operator.Documents, error)
-	// History returns up to limit accepted changes, newest first; a change id
-	// selects that change.
+	// History returns up to limit accepted changes, newest first; a non-empty
+	// change id selects that change.
 	History(ctx context.Context, change string, limit int) (*operator.History, error)
-	// Status returns what the node knows of the mesh.
+	// Status returns the node's view of the mesh.
 	Status(ctx context.Context) (*operator.Status, error)
-	// Progress returns how far the fleet is with a version.
+	// Progress returns the state of the fleet's roll-out of a version.
 	Progress(ctx context.Context, version uint64) (*operator.Progress, error)
 	// Drain takes a node's backend server out of service, or back.
 	Drain(ctx context.Context, req *operator.DrainRequest) error
 }
 
-// pollInterval is the pause between two looks at the progress while an answer
-// is held.
+// pollInterval is the interval at which the progress is polled while a request
+// waits for a version to come into force.
 const pollInterval = 20 * time.Millisecond
 
-// New returns the handler. Its server must bound a request's header.
+// New returns the handler of the operator interface. The http.Server that runs it
+// must bound request headers; the handler bounds only bodies.
 func New(d Delegate) http.Handler {
 	s := &server{delegate: d}
 	mux := http.NewServeMux()
@@ -51,6 +54,7 @@
 	return mux
 }
 
+// server serves the operator interface by calling its delegate.
 type server struct {
 	delegate Delegate
 }
@@ -66,7 +70,7 @@
 		return
 	}
 	resp, err := s.delegate.Apply(r.Context(), req)
-	answer(w, resp, err)
+	writeResult(w, resp, err)
 }
 
 func (s *server) documents(w http.ResponseWriter, r *http.Request) {
@@ -77,7 +81,7 @@
 		return
 	}
 	resp, err := s.delegate.Documents(kind, name)
-	answer(w, resp, err)
+	writeResult(w, resp, err)
 }
 
 func (s *server) history(w http.ResponseWriter, r *http.Request) {
@@ -91,12 +95,12 @@
 		return
 	}
 	resp, err := s.delegate.History(r.Context(), q.Get("change"), limit)
-	answer(w, resp, err)
+	writeResult(w, resp, err)
 }
 
 func (s *server) status(w http.ResponseWriter, r *http.Request) {
 	resp, err := s.delegate.Status(r.Context())
-	answer(w, resp, err)
+	writeResult(w, resp, err)
 }
 
 func (s *server) drain(w http.ResponseWriter, r *http.Request) {
@@ -109,7 +113,7 @@
 		writeError(w, malformed("node: want the name of a node"))
 		return
 	}
-	answer(w, &struct{}{}, s.delegate.Drain(r.Context(), req))
+	writeResult(w, &struct{}{}, s.delegate.Drain(r.Context(), req))
 }
 
 func (s *server) progress(w http.ResponseWriter, r *http.Request) {
@@ -124,12 +128,13 @@
 		writeError(w, err)
 		return
 	}
-	resp, err := s.await(r.Context(), version, wait)
-	answer(w, resp, err)
+	resp, err := s.awaitInForce(r.Context(), version, wait)
+	writeResult(w, resp, err)
 }
 
-// await holds the answer until the version is in force or wait has passed.
-func (s *server) await(ctx context.Context, version uint64, wait time.Duration) (*operator.Progress, error) {
+// awaitInForce polls the progress of a version until it is in force or wait has
+// passed, and returns the last progress.
+func (s *server) awaitInForce(ctx context.Context, version uint64, wait time.Duration) (*operator.Progress, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	ticker := time.NewTicker(pollInterval)
@@ -147,8 +152,8 @@
 	}
 }
 
-// answer writes v, or err as a problem.
-func answer(w http.ResponseWriter, v any, err error) {
+// writeResult responds with v, or with err as a problem if it isn't nil.
+func writeResult(w http.ResponseWriter, v any, err error) {
 	if err != nil {
 		writeError(w, err)
 		return
@@ -184,5 +189,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the caller went away: nobody is left to tell
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has gone, so there is nobody to report it to
 }
--- a/transport/operatorapi/handler_test.go
+++ b/transport/operatorapi/handler_test.go
@@ -16,60 +16,62 @@
 	"github.com/jacinthgate/jacinthgate/protocol/operator"
 )
 
-// fake counts the calls that reach it and is in force from the given look on.
-type fake struct {
-	calls   int
-	inForce int
-	err     error
+// fakeDelegate counts its calls and returns err from each. Progress reports the
+// version as in force from call inForceFrom on, or never if inForceFrom is 0.
+type fakeDelegate struct {
+	calls       int
+	inForceFrom int
+	err         error
 }
 
-func (f *fake) Apply(context.Context, *operator.ApplyRequest) (*operator.ApplyResponse, error) {
+func (f *fakeDelegate) Apply(context.Context, *operator.ApplyRequest) (*operator.ApplyResponse, error) {
 	f.calls++
 	return &operator.ApplyResponse{}, f.err
 }
 
-func (f *fake) Documents(string, string) (*operator.Documents, error) {
+func (f *fakeDelegate) Documents(string, string) (*operator.Documents, error) {
 	f.calls++
 	return &operator.Documents{}, f.err
 }
 
-func (f *fake) History(context.Context, string, int) (*operator.History, error) {
+func (f *fakeDelegate) History(context.Context, string, int) (*operator.History, error) {
 	f.calls++
 	return &operator.History{}, f.err
 }
 
-func (f *fake) Status(context.Context) (*operator.Status, error) {
+func (f *fakeDelegate) Status(context.Context) (*operator.Status, error) {
 	f.calls++
 	return &operator.Status{}, f.err
 }
 
-func (f *fake) Progress(context.Context, uint64) (*operator.Progress, error) {
+func (f *fakeDelegate) Progress(context.Context, uint64) (*operator.Progress, error) {
 	f.calls++
-	return &operator.Progress{InForce: f.inForce > 0 && f.calls >= f.inForce}, f.err
+	return &operator.Progress{InForce: f.inForceFrom > 0 && f.calls >= f.inForceFrom}, f.err
 }
 
-func (f *fake) Drain(context.Context, *operator.DrainRequest) error {
+func (f *fakeDelegate) Drain(context.Context, *operator.DrainRequest) error {
 	f.calls++
 	return f.err
 }
 
-// send returns the status and the problem in the answer.
-func send(f *fake, method, target, body string) (int, operator.Problem) {
+// send serves a request with f as the delegate, and returns the status code and
+// problem of the response.
+func send(f *fakeDelegate, method, target, body string) (int, operator.Problem) {
 	w := httptest.NewRecorder()
 	New(f).ServeHTTP(w, httptest.NewRequest(method, target, strings.NewReader(body)))
 	var p operator.Problem
-	_ = json.Unmarshal(w.Body.Bytes(), &p) // an answer of net/http has none
+	_ = json.Unmarshal(w.Body.Bytes(), &p) // a response of net/http itself has none
 	return w.Code, p
 }
 
-func TestBadInputReachesNothing(t *testing.T) {
+func TestBadInputDoesNotReachDelegate(t *testing.T) {
 	apply, drain := operator.PathApply, operator.PathDrain
 	contract := `{"changeId":"a","batch":{"contracts":[{"organisation":7}]}}`
 	cases := []struct {
 		name, method, target, body string
 		status                     int
 		code                       operator.Code
-		says                       string
+		faultPath                  string
 	}{
 		{"no JSON", "POST", apply, "{", 400, operator.CodeMalformed, ""},
 		{"trailing", "POST", drain, `{"node":"a","drain":true}{}`, 400, operator.CodeMalformed, ""},
@@ -95,13 +97,13 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			f := new(fake)
+			f := new(fakeDelegate)
 			status, p := send(f, tc.method, tc.target, tc.body)
 			must.Eq(t, tc.status, status)
 			must.Eq(t, tc.code, p.Code)
 			must.Zero(t, f.calls)
-			if tc.says != "" {
-				must.Eq(t, tc.says, p.Faults[0].Path)
+			if tc.faultPath != "" {
+				must.Eq(t, tc.faultPath, p.Faults[0].Path)
 			}
 		})
 	}
@@ -109,10 +111,10 @@
 
 func TestErrorsKeepTheirCode(t *testing.T) {
 	conflict := &operator.Problem{Code: operator.CodeConflict, Document: "service/a", Revision: 4}
-	status, p := send(&fake{err: errors.Wrap(conflict, "wrapped")}, "GET", operator.PathStatus, "")
+	status, p := send(&fakeDelegate{err: errors.Wrap(conflict, "wrapped")}, "GET", operator.PathStatus, "")
 	must.Eq(t, http.StatusConflict, status)
 	must.Eq(t, *conflict, p)
-	status, p = send(&fake{err: context.Canceled}, "GET", operator.PathStatus, "")
+	status, p = send(&fakeDelegate{err: context.Canceled}, "GET", operator.PathStatus, "")
 	must.Eq(t, http.StatusServiceUnavailable, status)
 	must.Eq(t, operator.CodeRefused, p.Code)
 }
@@ -132,7 +134,7 @@
 	for _, tc := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			start := time.Now()
-			status, _ := send(&fake{inForce: tc.inForce}, "GET", operator.PathProgress+"?version=8&wait="+tc.wait, "")
+			status, _ := send(&fakeDelegate{inForceFrom: tc.inForce}, "GET", operator.PathProgress+"?version=8&wait="+tc.wait, "")
 			must.Eq(t, http.StatusOK, status)
 			must.Eq(t, tc.want, time.Since(start), must.Sprint(tc.name))
 		})
--- a/transport/operatorapi/query.go
+++ b/transport/operatorapi/query.go
@@ -9,9 +9,12 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// MaxWait bounds how long a progress answer may be held.
+// MaxWait bounds how long a progress request waits for its version to come into
+// force; longer waits are reduced to it.
 const MaxWait = 10 * time.Second
 
+// checkSelection returns an error if kind and name don't select documents; empty
+// ones select all.
 func checkSelection(kind, name string) error {
 	switch {
 	case kind != "" && kind != operator.KindContract && kind != operator.KindService:
@@ -24,8 +27,8 @@
 	return nil
 }
 
-// checkChangeID refuses what can't be the id of a change; an empty one selects
-// all.
+// checkChangeID returns an error if id can't be the id of a change; an empty one
+// selects all changes.
 func checkChangeID(id string) error {
 	if id != "" && !accept.ValidChangeID(id) {
 		return malformed("query parameter change: want a change id")
@@ -33,6 +36,8 @@
 	return nil
 }
 
+// parseLimit returns the number of changes to list, by default
+// operator.MaxHistory.
 func parseLimit(s string) (int, error) {
 	if s == "" {
 		return operator.MaxHistory, nil
@@ -44,6 +49,7 @@
 	return n, nil
 }
 
+// parseWait returns the duration to wait, at most MaxWait and by default 0.
 func parseWait(s string) (time.Duration, error) {
 	if s == "" {
 		return 0, nil
