--- a/transport/forward/client_conn.go
+++ b/transport/forward/client_conn.go
@@ -106,7 +106,7 @@
 
 // hasExcessBytes reports whether bytes were received that belong to no response.
 func (c *clientConn) hasExcessBytes() bool {
-	return c.br.Buffered() > 0 || c.packed != nil && c.packed.Pending()
+	return c.br.Buffered() > 0 || c.packed != nil && c.packed.HasUnread()
 }
 
 // peekSocket checks without waiting whether there are bytes to read or the
--- a/transport/headpack/conn.go
+++ b/transport/headpack/conn.go
@@ -60,8 +60,8 @@
 // that the client packs.
 func Server(c net.Conn) *Conn { return &Conn{Conn: c, r: bufio.NewReaderSize(c, readBuffer)} }
 
-// Pending reports whether received bytes are still unread.
-func (c *Conn) Pending() bool { return len(c.head) > 0 || c.rawRemaining > 0 || c.r.Buffered() > 0 }
+// HasUnread reports whether received bytes are still unread.
+func (c *Conn) HasUnread() bool { return len(c.head) > 0 || c.rawRemaining > 0 || c.r.Buffered() > 0 }
 
 // Read implements net.Conn. Besides the errors of the underlying connection it
 // returns a *FrameError for an invalid frame. Reading can go on after a deadline
--- a/transport/headpack/headpack_test.go
+++ b/transport/headpack/headpack_test.go
@@ -58,7 +58,7 @@
 	must.NoError(t, err)
 	must.NoError(t, <-done)
 	must.Eq(t, string(p), string(got))
-	must.False(t, to.Pending())
+	must.False(t, to.HasUnread())
 }
 
 // requestHead returns a request's head as nodes send it, with random ids and times.
