--- a/state/instance/instance.go
+++ b/state/instance/instance.go
@@ -1,62 +1,63 @@
-// Package instance holds what a node knows of the backend server on its host:
-// which start of it runs, what it offers, and whether it is leaving.
+// Package instance tracks the backend server on a node's host: which instance of it
+// runs, which service it offers, and whether it is draining.
 //
-// An instance is one start of a backend server. Its identifier may be one that the
-// backend server had before, so a start is the identifier with the time of the start.
-// Heartbeats may arrive late and out of order: they are ordered by start, then by
-// their sequence, which each start counts anew. A start that has left never comes
-// back.
+// An instance is one run of a backend server's process. A backend server may use its
+// identifier again after a restart, so an instance is identified by that identifier and
+// its start time. Heartbeats may arrive late and out of order: they are ordered by start
+// time, then by sequence, which each instance counts from the beginning. An instance that
+// has left is never used again.
 package instance
 
 import "time"
 
-// Heartbeat is what a backend server says of itself.
+// Heartbeat is the status that a backend server reports to the node on its host.
 type Heartbeat struct {
 	Start
-	// Addr is where it takes requests, IP:port.
+	// Addr is the address on which it accepts requests, IP:port.
 	Addr string
 	// Service is the service that it offers.
 	Service string
-	// Version is the version of its software; empty where it doesn't tell.
+	// Version is the version of its software; empty if not reported.
 	Version string
-	// Slots is the number of requests that it runs at one time.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Draining says that it is about to leave.
+	// Draining reports that it is about to shut down.
 	Draining bool
-	// Sequence rises with each heartbeat of the start.
+	// Sequence increases with each heartbeat of the instance.
 	Sequence uint64
-	// Cold is how much longer it stays slow after its start.
+	// Cold is the remaining time for which it stays slow after its start.
 	Cold time.Duration
 }
 
-// State is the life of an instance.
+// State is the stage of an instance's life cycle.
 type State uint8
 
-// The states. An instance only moves down this list.
+// The states, in order. An instance never returns to an earlier one.
 const (
-	// Ready takes requests.
+	// Ready means that it accepts requests.
 	Ready State = iota
-	// Draining finishes what it has and takes no new requests soon.
+	// Draining means that it finishes its requests and will soon accept no new ones.
 	Draining
-	// Gone takes nothing any more.
+	// Gone means that it no longer accepts requests.
 	Gone
 )
 
-// Instance is one start of the backend server, as last heard.
+// Instance is the state of one instance by its last heartbeat.
 type Instance struct {
 	Heartbeat
 	State State
-	// Heard is when the last heartbeat arrived.
+	// Heard is the time at which the last heartbeat arrived.
 	Heard time.Time
-	// DrainSince is when it was first known to leave; zero while it is ready.
+	// DrainSince is the time at which the node first learned that it drains; zero while
+	// it is ready.
 	DrainSince time.Time
-	// WarmAt is when it stops being slow after its start.
+	// WarmAt is the time at which it is no longer slow after its start.
 	WarmAt time.Time
 
 	key string
 }
 
-// newInstance returns the instance that a first heartbeat tells of.
+// newInstance returns the instance that sent a first heartbeat.
 func newInstance(now time.Time, h Heartbeat) *Instance {
 	i := &Instance{Heartbeat: h, Heard: now, WarmAt: now.Add(h.Cold), key: h.Start.Key()}
 	if h.Draining {
@@ -65,8 +66,8 @@
 	return i
 }
 
-// heard returns the instance after a further heartbeat.
-func (i *Instance) heard(now time.Time, h Heartbeat) *Instance {
+// updated returns a copy of the instance updated by a further heartbeat.
+func (i *Instance) updated(now time.Time, h Heartbeat) *Instance {
 	if h.Born == 0 {
 		h.Born = i.Born
 	}
@@ -78,10 +79,10 @@
 	return next
 }
 
-// Key names the instance to other nodes and to the store.
+// Key returns the name of the instance for other nodes and the store, see Start.Key.
 func (i *Instance) Key() string { return i.key }
 
-// drain marks the instance as leaving since now, unless it was already.
+// drain marks the instance as draining since now, unless it drains or is gone already.
 func (i *Instance) drain(now time.Time) {
 	if i.State == Ready {
 		i.State = Draining
--- a/state/instance/instance_test.go
+++ b/state/instance/instance_test.go
@@ -13,19 +13,19 @@
 	return Heartbeat{Start: Start{ID: id}, Addr: "127.0.0.1:1", Service: "s", Slots: 9, Sequence: sequence, Draining: draining}
 }
 
-func TestLateHeartbeatChangesNothing(t *testing.T) {
+func TestOutdatedHeartbeatIsIgnored(t *testing.T) {
 	var l Local
 	must.True(t, l.Hear(begin, beat("a", 5, false)))
 	must.True(t, l.Hear(begin, beat("a", 6, true)))
 	must.False(t, l.Hear(begin, beat("a", 4, false)))
 	must.Eq(t, Draining, l.Current().State)
 	must.False(t, l.Hear(begin.Add(time.Second), beat("a", 7, true)))
-	must.Eq(t, begin, l.Current().DrainSince, must.Sprint("a drain begins once"))
-	must.False(t, l.Hear(begin, beat("a", 8, false)), must.Sprint("it is not undone"))
+	must.Eq(t, begin, l.Current().DrainSince, must.Sprint("a later heartbeat must not change when the drain began"))
+	must.False(t, l.Hear(begin, beat("a", 8, false)), must.Sprint("a drain must not be undone"))
 	must.Eq(t, Draining, l.Current().State)
 }
 
-func TestNewInstanceReplacesTheOldOneForGood(t *testing.T) {
+func TestNewInstanceReplacesTheFormerOnePermanently(t *testing.T) {
 	var l Local
 	l.Hear(begin, beat("a", 5, false))
 	must.True(t, l.Hear(begin, beat("b", 1, false)))
@@ -43,14 +43,14 @@
 	must.Eq(t, Draining, l.Current().State)
 }
 
-func TestGoodbyeOfAnInstanceThatIsNotKnown(t *testing.T) {
+func TestGoodbyeOfAnUnknownInstance(t *testing.T) {
 	var l Local // such as after a restart of the node
 	must.True(t, l.Leave(begin, Start{ID: "a"}))
 	must.False(t, l.Hear(begin, beat("a", 9, false)))
 	must.Nil(t, l.Current())
 }
 
-func TestSilentInstanceIsDroppedAndMayComeBack(t *testing.T) {
+func TestExpiredInstanceMayReturn(t *testing.T) {
 	var l Local
 	l.Hear(begin, beat("a", 1, false))
 	must.False(t, l.Expire(begin.Add(time.Second), 2*time.Second))
@@ -58,7 +58,7 @@
 	must.True(t, l.Hear(begin.Add(3*time.Second), beat("a", 2, false)))
 }
 
-func TestOnlyTheLastOnesAreRememberedAsGone(t *testing.T) {
+func TestRememberedDepartedInstancesAreLimited(t *testing.T) {
 	var l Local
 	for i := range 3 * maxGone {
 		l.Forget(begin, Start{ID: string(rune('a' + i))})
@@ -67,16 +67,16 @@
 	must.True(t, l.isGone(begin, Start{ID: string(rune('a' + 3*maxGone - 1))}))
 }
 
-// A heartbeat that was held up may arrive after its sender has crashed and another
-// instance has registered at the address. Taken for a new instance it put the
-// live one out for good.
+// A delayed heartbeat may arrive after its sender has crashed and another instance has
+// registered at the address. Treating its sender as a new instance must not remove the
+// live instance permanently.
 func TestLateHeartbeatOfACrashedInstanceDoesNotEvictTheNewOne(t *testing.T) {
 	for name, end := range map[string]func(*Local) bool{
-		"the backend server says that it is another one": func(l *Local) bool { return l.Forget(begin, Start{ID: "a"}) },
-		"no second heartbeat comes":                      func(l *Local) bool { return l.Expire(begin.Add(time.Minute), 4*time.Second) },
+		"the backend server reports another identifier": func(l *Local) bool { return l.Forget(begin, Start{ID: "a"}) },
+		"no second heartbeat arrives":                   func(l *Local) bool { return l.Expire(begin.Add(time.Minute), 4*time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			var l Local // the node has started after the crash, or "a" has expired
+			var l Local // the node started after the crash, or "a" has expired
 			l.Hear(begin, beat("b", 1, false))
 			l.Hear(begin, beat("b", 2, false))
 			l.Hear(begin, beat("a", 9, false))
@@ -88,8 +88,8 @@
 	}
 }
 
-// An instance that has sent a second heartbeat has replaced the former one.
-func TestConfirmedInstanceHasReplacedTheOldOne(t *testing.T) {
+// A second heartbeat of an instance confirms that it has replaced the former one.
+func TestConfirmedInstanceHasReplacedTheFormerOne(t *testing.T) {
 	var l Local
 	l.Hear(begin, beat("a", 5, false))
 	l.Hear(begin, beat("b", 1, false))
@@ -109,7 +109,7 @@
 	must.True(t, begin.Add(time.Minute).Before(l.Current().WarmAt))
 	must.Eq(t, begin, before.WarmAt, must.Sprint("a returned instance must not change"))
 	must.False(t, l.Hear(begin, beat("a", 1, false)))
-	must.True(t, begin.Before(l.Current().WarmAt), must.Sprint("an outdated heartbeat changes nothing"))
+	must.True(t, begin.Before(l.Current().WarmAt), must.Sprint("an outdated heartbeat must change nothing"))
 	h := beat("a", 2, false)
 	h.Cold = 2 * time.Second
 	l.Hear(begin.Add(time.Second), h)
--- a/state/instance/local.go
+++ b/state/instance/local.go
@@ -6,88 +6,91 @@
 )
 
 const (
-	// maxGone bounds the starts that are remembered as gone. A host runs one backend
-	// server at a time, so this covers many restarts.
+	// maxGone limits the number of departed instances that are remembered. A host runs
+	// one backend server at a time, so this covers many restarts.
 	maxGone = 32
-	// lateness is how long after a start has left a word of an earlier start of its
-	// identifier may still arrive: heartbeats are some seconds late, or held up by a
-	// cut. What comes later and says to be earlier is a new start whose host's clock
-	// went back.
-	lateness = 30 * time.Second
+	// lateMessageWindow is the time after an instance has left during which a message of an
+	// earlier instance with its identifier may still arrive: heartbeats may be some
+	// seconds late, or delayed by a network partition. A message that arrives later with
+	// an earlier start time is from a new instance, started after the host's clock was
+	// set back.
+	lateMessageWindow = 30 * time.Second
 )
 
-// departed is a start that has left.
+// departed records an instance that has left.
 type departed struct {
 	Start
 	at time.Time
 }
 
-// Local is the state machine of the host's backend server. It is not safe for
-// concurrent use.
+// Local is the state machine that tracks the instances of the host's backend server.
+// It is not safe for concurrent use.
 type Local struct {
 	current *Instance
-	// replaced is the instance that current has replaced, until current is
-	// confirmed by a second heartbeat. One that was held up by a cut may arrive
-	// after its sender has crashed and the next instance has registered.
+	// replaced is the instance before current, kept until a second heartbeat confirms
+	// current. A single heartbeat isn't enough: one that a network partition has delayed
+	// may arrive after its sender has crashed and the next instance has registered.
 	replaced *Instance
 	gone     []departed // oldest first
 }
 
-// Current returns the present instance, or nil when none is known.
+// Current returns the current instance, or nil if there is none. Later calls don't change
+// the returned instance.
 func (l *Local) Current() *Instance { return l.current }
 
-// Hear takes a heartbeat and reports whether it changed what other nodes need
-// to know. A late heartbeat changes nothing.
+// Hear records a heartbeat and reports whether it changed anything that other nodes
+// need. An outdated heartbeat is ignored, except that it may mark a replaced instance as
+// draining.
 func (l *Local) Hear(now time.Time, h Heartbeat) bool {
 	c := l.current
 	switch {
 	case l.isGone(now, h.Start):
 		if h.Draining {
-			l.leaveReplaced(now, h.Start)
+			l.drainReplaced(now, h.Start)
 		}
 		return false
 	case c == nil, !c.same(h.Start) && !h.before(c.Start):
 		l.replace(now, h)
 		return true
 	case h.before(c.Start), h.Sequence <= c.Sequence:
-		return false // of an earlier start, or an earlier one of this
+		return false // from an earlier instance, or an earlier one of this instance
 	}
 	l.replaced = nil
-	next := c.heard(now, h)
+	next := c.updated(now, h)
 	l.current = next
 	return next.State != c.State || next.Addr != c.Addr || next.Service != c.Service || next.Version != c.Version || next.Slots != c.Slots ||
 		next.Start != c.Start
 }
 
-// replace begins with a new instance. The former one is gone: a host runs one
-// backend server.
+// replace makes the sender of h the current instance. It records the former one as gone,
+// since a host runs one backend server.
 func (l *Local) replace(now time.Time, h Heartbeat) {
 	l.replaced = l.current
 	if l.current != nil {
-		l.remember(now, l.current.Start)
+		l.recordGone(now, l.current.Start)
 	}
 	l.current = newInstance(now, h)
 }
 
-// Leave notes that a start says goodbye. It finishes what it has. It reports
-// whether that is news.
+// Leave records the goodbye of an instance, which still finishes its requests. It
+// reports whether that changed the state.
 func (l *Local) Leave(now time.Time, s Start) bool {
 	c := l.current
 	if c == nil || !c.same(s) {
-		if l.leaveReplaced(now, s) {
+		if l.drainReplaced(now, s) {
 			return true
 		}
 		if l.isGone(now, s) || c != nil && s.before(c.Start) {
 			return false
 		}
-		l.remember(now, s)
+		l.recordGone(now, s)
 		return true
 	}
-	return leave(now, &l.current)
+	return startDraining(now, &l.current)
 }
 
-// leave notes that an instance is leaving, and reports whether that is news.
-func leave(now time.Time, i **Instance) bool {
+// startDraining replaces an instance by a draining copy and reports whether it was ready before.
+func startDraining(now time.Time, i **Instance) bool {
 	if (*i).State != Ready {
 		return false
 	}
@@ -97,35 +100,35 @@
 	return true
 }
 
-// leaveReplaced notes that the instance that seems to have been replaced is leaving, and
-// reports whether that is news: should it be back, it isn't ready again.
-func (l *Local) leaveReplaced(now time.Time, s Start) bool {
+// drainReplaced marks the replaced instance as draining if it is s, so that it isn't
+// ready should it be restored. It reports whether that changed its state.
+func (l *Local) drainReplaced(now time.Time, s Start) bool {
 	if l.replaced == nil || !l.replaced.same(s) {
 		return false
 	}
-	return leave(now, &l.replaced)
+	return startDraining(now, &l.replaced)
 }
 
-// Forget drops a start for good: it has ended, or another one has taken its
-// address. It reports whether it was the present one. The one that it seemed to
-// have replaced is back where only one heartbeat had said so.
+// Forget removes an instance permanently because it has ended or another one has taken
+// its address. It reports whether it was the current one. If only one heartbeat had made
+// it current, the instance before it is restored.
 func (l *Local) Forget(now time.Time, s Start) bool {
 	if !l.isGone(now, s) {
-		l.remember(now, s)
+		l.recordGone(now, s)
 	}
 	if l.current == nil || !l.current.same(s) {
 		if l.replaced != nil && l.replaced.same(s) {
-			l.replaced = nil // it won't be back
+			l.replaced = nil // don't restore it
 		}
 		return false
 	}
-	l.current = l.restore()
+	l.current = l.restoreReplaced()
 	return true
 }
 
-// restore takes back that an instance was replaced, and returns it; nil where
-// there is none.
-func (l *Local) restore() *Instance {
+// restoreReplaced returns the replaced instance and no longer records it as gone; nil if there
+// is none.
+func (l *Local) restoreReplaced() *Instance {
 	r := l.replaced
 	l.replaced = nil
 	if r == nil {
@@ -135,23 +138,23 @@
 	return r
 }
 
-// Expire drops an instance that was not heard for ttl, without holding it to be
-// gone for good. It reports whether there was one.
+// Expire removes the current instance if it has sent no heartbeat for ttl, without
+// recording it as gone. It reports whether it removed one.
 func (l *Local) Expire(now time.Time, ttl time.Duration) bool {
 	if l.current == nil || now.Sub(l.current.Heard) < ttl {
 		return false
 	}
 	l.current = nil
-	l.restore() // it is heard again by its next heartbeat
+	l.restoreReplaced() // so that its next heartbeat is accepted again
 	return true
 }
 
-// assumedColdTime is how long an instance is assumed to be cold without a heartbeat. It is longer
-// than any start takes.
+// assumedColdTime is the time for which AssumeCold treats an instance as cold unless a
+// heartbeat arrives. It is longer than any start takes.
 const assumedColdTime = time.Hour
 
-// AssumeCold treats the current instance as cold until its next heartbeat. It may have restarted,
-// or become cold for lack of requests, since the last one.
+// AssumeCold treats the current instance as cold until its next heartbeat. Since the last
+// one it may have restarted, or become cold for lack of requests.
 func (l *Local) AssumeCold(now time.Time) {
 	if l.current == nil {
 		return
@@ -161,14 +164,17 @@
 	l.current = &next
 }
 
-// isGone reports whether a start has left, or is earlier than one that has.
+// isGone reports whether an instance has left, or is earlier than one with its identifier
+// that left less than lateMessageWindow ago.
 func (l *Local) isGone(now time.Time, s Start) bool {
 	return slices.ContainsFunc(l.gone, func(d departed) bool {
-		return d.same(s) || s.before(d.Start) && now.Sub(d.at) < lateness
+		return d.same(s) || s.before(d.Start) && now.Sub(d.at) < lateMessageWindow
 	})
 }
 
-func (l *Local) remember(now time.Time, s Start) {
+// recordGone records an instance as gone, in the place of the oldest record if maxGone are
+// held.
+func (l *Local) recordGone(now time.Time, s Start) {
 	if len(l.gone) == maxGone {
 		l.gone = append(l.gone[:0], l.gone[1:]...)
 	}
--- a/state/instance/property_test.go
+++ b/state/instance/property_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// Words of several starts of one identifier, late and in any order: a start that has
-// left never takes requests again, the newest start that has been heard and has not
-// left is the one that is used, and nobody goes back to an earlier one while it is heard.
-func TestWordsInAnyOrder(t *testing.T) {
+// Messages of several instances with one identifier arrive late and in any order. An
+// instance that has left is never ready again, and the current instance is the newest one
+// that has sent a heartbeat and has not left.
+func TestMessagesInAnyOrder(t *testing.T) {
 	const starts = 4
 	rapid.Check(t, func(t *rapid.T) {
 		var l Local
 		now := begin
 		left := make(map[int64]bool)
-		newest := int64(0) // of the starts heard
+		newest := int64(0) // start time of the newest instance that has sent a heartbeat
 		for range rapid.IntRange(1, 30).Draw(t, "words") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			born := 100 * int64(rapid.IntRange(1, starts).Draw(t, "start"))
@@ -39,13 +39,13 @@
 				continue
 			}
 			must.False(t, left[c.Born] && c.State == Ready)
-			must.False(t, c.Born < newest && !left[newest] && !anyLater(left, newest), must.Sprint("it went back"))
+			must.False(t, c.Born < newest && !left[newest] && !anyLater(left, newest), must.Sprint("an earlier instance became current"))
 		}
 	})
 }
 
-// anyLater reports whether a later start than the given one has left: all earlier ones
-// are held to be over then.
+// anyLater reports whether an instance that started later than born has left: all earlier
+// ones count as ended then.
 func anyLater(left map[int64]bool, born int64) bool {
 	for b, gone := range left {
 		if gone && b > born {
--- a/state/instance/start.go
+++ b/state/instance/start.go
@@ -5,24 +5,25 @@
 	"strings"
 )
 
-// Start identifies one start of a backend server: its identifier, which it may have had
-// before, and the time of the start. Starts of one identifier are ordered by that time.
+// Start identifies an instance: the backend server's identifier, which earlier instances
+// may have used too, and the start time, which orders the instances of one identifier.
 type Start struct {
 	// ID is the backend server's identifier.
 	ID string
-	// Born is the time of the start in milliseconds of Unix time, by the clock of the
-	// host; 0 where the backend server doesn't tell.
+	// Born is the start time in milliseconds of Unix time by the clock of the host; 0 if
+	// the backend server doesn't report it.
 	Born int64
 }
 
-// startSeparator stands between identifier and time in a key.
+// startSeparator separates the identifier from the start time in a key.
 const startSeparator = "@"
 
-// startBase is the base in which the time stands in a key.
+// startBase is the number base of the start time in a key.
 const startBase = 36
 
-// Key returns the start as one word, by which nodes and the store name it. Without a
-// time it is the identifier, marked by the separator where it holds one itself.
+// Key returns the instance's name in messages between nodes and in the store: identifier,
+// separator and start time. Without a start time it is the identifier, with a separator
+// appended if it contains one itself.
 func (s Start) Key() string {
 	switch {
 	case s.Born == 0 && strings.Contains(s.ID, startSeparator):
@@ -33,7 +34,8 @@
 	return s.ID + startSeparator + strconv.FormatInt(s.Born, startBase)
 }
 
-// ParseStart reads what Key returns. Any other text is an identifier without a time.
+// ParseStart parses the result of Key. Any other text is an identifier without a start
+// time.
 func ParseStart(key string) Start {
 	i := strings.LastIndex(key, startSeparator)
 	if i < 0 {
@@ -50,13 +52,13 @@
 	return Start{ID: id, Born: born}
 }
 
-// same reports whether both may be one start: one that tells no time is taken for any
-// of its identifier, as nothing tells them apart.
+// same reports whether s and o may be the same instance. A Start without a time matches
+// every one with its identifier, since they can't be distinguished.
 func (s Start) same(o Start) bool {
 	return s.ID == o.ID && (s.Born == o.Born || s.Born == 0 || o.Born == 0)
 }
 
-// before reports whether s is an earlier start of the same identifier.
+// before reports whether s is an earlier instance with the identifier of o.
 func (s Start) before(o Start) bool {
 	return s.ID == o.ID && s.Born != 0 && s.Born < o.Born
 }
--- a/state/instance/start_test.go
+++ b/state/instance/start_test.go
@@ -7,28 +7,29 @@
 	"github.com/shoenig/test/must"
 )
 
-// of returns a heartbeat of the start of "a" at a time.
+// of returns a heartbeat of the instance of "a" with a start time.
 func of(born int64, sequence uint64, draining bool) Heartbeat {
 	h := beat("a", sequence, draining)
 	h.Born = born
 	return h
 }
 
-func TestKeyIsReadAsItIsWritten(t *testing.T) {
+func TestParseStartInvertsKey(t *testing.T) {
 	for _, s := range []Start{{ID: "i-7f"}, {ID: "i-7f", Born: 1764723600123}, {ID: "a@b"}, {ID: "a@b", Born: 1}, {ID: "a@"}, {}} {
 		must.Eq(t, s, ParseStart(s.Key()))
 	}
 	must.NotEq(t, Start{ID: "a", Born: 1}.Key(), Start{ID: "a", Born: 2}.Key())
 }
 
-// Its counts start anew, and it knows nothing of before.
-func TestReturnedBackendServerIsANewInstance(t *testing.T) {
+// A restarted backend server counts its heartbeats from the beginning and reports ready
+// again, whatever state its former instance was in.
+func TestRestartedBackendServerIsANewInstance(t *testing.T) {
 	for name, end := range map[string]func(*Local){
-		"it crashed":        func(*Local) {},
-		"it drained":        func(l *Local) { l.Hear(begin, of(100, 8, true)) },
-		"it said goodbye":   func(l *Local) { l.Leave(begin, Start{"a", 100}) },
-		"it was found gone": func(l *Local) { l.Forget(begin, Start{"a", 100}) },
-		"it fell silent":    func(l *Local) { l.Expire(begin.Add(time.Minute), time.Second) },
+		"it crashed":       func(*Local) {},
+		"it drained":       func(l *Local) { l.Hear(begin, of(100, 8, true)) },
+		"it said goodbye":  func(l *Local) { l.Leave(begin, Start{"a", 100}) },
+		"it was forgotten": func(l *Local) { l.Forget(begin, Start{"a", 100}) },
+		"it expired":       func(l *Local) { l.Expire(begin.Add(time.Minute), time.Second) },
 		"the node has restarted and learned of its drain": func(l *Local) {
 			*l = Local{}
 			l.Forget(begin, Start{"a", 100})
@@ -48,7 +49,7 @@
 	}
 }
 
-func TestLateWordOfAFormerStartChangesNothing(t *testing.T) {
+func TestLateMessageOfAFormerInstanceChangesNothing(t *testing.T) {
 	var l Local
 	l.Hear(begin, of(100, 7, false))
 	l.Hear(begin, of(200, 1, false))
@@ -60,9 +61,10 @@
 	must.True(t, l.Leave(begin, Start{"a", 200}))
 }
 
-// The time of day of a host may go back, and with it the time of a start. Such a start
-// is used once the former one has been silent, or has left, for long enough.
-func TestStartWhoseClockWentBackIsUsedInTime(t *testing.T) {
+// A host's clock may be set back, so that a new instance has an earlier start time than
+// the former one. It is accepted once the former one has expired, or has left for at
+// least the time lateMessageWindow.
+func TestInstanceStartedAfterClockWasSetBackIsAccepted(t *testing.T) {
 	var l Local
 	l.Hear(begin, of(200, 7, false))
 	must.False(t, l.Hear(begin.Add(time.Second), of(100, 1, false)))
@@ -72,13 +74,14 @@
 	l = Local{}
 	l.Hear(begin, of(200, 7, false))
 	l.Forget(begin, Start{"a", 200})
-	must.False(t, l.Hear(begin.Add(lateness/2), of(100, 1, false)))
-	must.True(t, l.Hear(begin.Add(lateness), of(100, 9, false)))
-	must.False(t, l.Hear(begin.Add(lateness), of(200, 8, false)), must.Sprint("the one that has left stays out"))
+	must.False(t, l.Hear(begin.Add(lateMessageWindow/2), of(100, 1, false)))
+	must.True(t, l.Hear(begin.Add(lateMessageWindow), of(100, 9, false)))
+	must.False(t, l.Hear(begin.Add(lateMessageWindow), of(200, 8, false)), must.Sprint("the instance that has left must not return"))
 }
 
-// One that doesn't tell its start is taken for the present one of its identifier.
-func TestStartThatIsNotToldIsThePresentOne(t *testing.T) {
+// A message without a start time is attributed to the current instance if that has its
+// identifier.
+func TestMessageWithoutStartTimeIsFromTheCurrentInstance(t *testing.T) {
 	var l Local
 	l.Hear(begin, of(100, 1, false))
 	must.False(t, l.Hear(begin, of(0, 2, false)))
@@ -86,5 +89,5 @@
 	must.True(t, l.Leave(begin, Start{ID: "a"}))
 	l.Forget(begin, Start{ID: "a"})
 	must.False(t, l.Hear(begin, of(0, 3, false)))
-	must.False(t, l.Hear(begin, of(300, 1, false)), must.Sprint("which one left isn't known"))
+	must.False(t, l.Hear(begin, of(300, 1, false)), must.Sprint("either instance may be the one that left"))
 }
--- a/state/rollout/order.go
+++ b/state/rollout/order.go
@@ -6,44 +6,47 @@
 	"github.com/jacinthgate/jacinthgate/state/store"
 )
 
-// Again reports whether two orders are one that the operators have written again after the
-// store came back from an older copy: what had become of it stands.
+// Again reports whether two orders are the same one, which the operators have rewritten
+// after the store was restored from an older copy. Its phase and verdict then stay valid.
 func (o *Order) Again(other *Order) bool {
-	return store.Life(o.Revision) != store.Life(other.Revision) && o.alike(other)
+	return store.Life(o.Revision) != store.Life(other.Revision) && o.sameContent(other)
 }
 
-func (o *Order) alike(other *Order) bool {
+// sameContent reports whether two orders have the same service, target and duration.
+func (o *Order) sameContent(other *Order) bool {
 	return o.Service == other.Service && o.Target == other.Target && o.Duration == other.Duration
 }
 
-// rewriteTime is how long after an order was found in another life of the store it may be
-// written again, although the copy holds it: later it is an order of its own.
-const rewriteTime = time.Minute
+// rewriteWindow is the time after an order was received from another epoch of the store
+// during which the operators may rewrite it although the restored copy holds it. An equal
+// order that arrives later is a new order.
+const rewriteWindow = time.Minute
 
-// same reports whether an entry is of the order that is held, whose revision it may change.
+// same reports whether an entry is of the order of h, possibly under another revision.
 func (h *held) same(now time.Time, e *Entry) bool {
 	if e.Order.Revision == h.Order.Revision || e.Order.Again(&h.Order) {
 		return true
 	}
-	return !h.crossed.IsZero() && now.Sub(h.crossed) < rewriteTime && e.Order.alike(&h.Order)
+	return !h.otherEpochAt.IsZero() && now.Sub(h.otherEpochAt) < rewriteWindow && e.Order.sameContent(&h.Order)
 }
 
-// After reports whether an order replaces another one.
+// After reports whether o replaces other.
 func (o *Order) After(other *Order) bool {
 	later := o
 	if other.Revision > o.Revision {
 		later = other
 	}
 	if later.Copied && store.Life(o.Revision) != store.Life(other.Revision) {
-		// An older copy holds no transaction that the former life hadn't reached.
+		// Transactions in the older copy were already made in the former epoch, so their
+		// numbers can be compared.
 		return store.Transaction(o.Revision) > store.Transaction(other.Revision)
 	}
 	return o.Revision > other.Revision
 }
 
-// renew takes the revision of the same order where that is a later one, and reports whether it
-// was.
-func (o *Order) renew(other *Order) bool {
+// adoptRevision takes over the revision of other, which is the same order, if that is a later one,
+// and reports whether it was.
+func (o *Order) adoptRevision(other *Order) bool {
 	if other.Revision < o.Revision {
 		return false
 	}
--- a/state/rollout/order_test.go
+++ b/state/rollout/order_test.go
@@ -9,33 +9,35 @@
 	"github.com/jacinthgate/jacinthgate/state/store"
 )
 
-func in(life, transaction uint64, target string, phase Phase) Entry {
-	return entry(store.InLife(life, transaction), target, phase)
+// in returns an entry whose order was written by a transaction of an epoch.
+func in(epoch, transaction uint64, target string, phase Phase) Entry {
+	return entry(store.InLife(epoch, transaction), target, phase)
 }
 
+// copied returns e marked as read in an epoch that may be later than that of its write.
 func copied(e Entry) Entry {
 	e.Order.Copied = true
 	return e
 }
 
-// What the operators have written again after the store came back from an older copy, and
-// what that copy holds, neither begins a roll-out anew nor takes its verdict back. Other
-// orders of the next life are news.
-func TestOrderThatIsReadInTheNextLife(t *testing.T) {
+// After the store was restored from an older copy, an order that the operators rewrite or
+// that the copy holds neither restarts a roll-out nor revokes its verdict. Any other order
+// of the next epoch replaces the held one.
+func TestOrderReadInTheNextEpoch(t *testing.T) {
 	held := in(1, 9, "v3", Reverted)
 	for name, c := range map[string]struct {
 		read   Entry
 		target string
 		phase  Phase
 	}{
-		"written again":                              {in(2, 7, "v3", Pending), "v3", Reverted},
-		"written again, under a higher revision":     {in(2, 12, "v3", Pending), "v3", Reverted},
-		"in the copy":                                {copied(in(2, 9, "v3", Pending)), "v3", Reverted},
-		"a former order in the copy":                 {copied(in(2, 5, "v2", Pending)), "v3", Reverted},
-		"another order of the feed":                  {in(2, 7, "v4", Pending), "v4", Pending},
-		"another order, read whole":                  {copied(in(2, 10, "v4", Pending)), "v4", Pending},
-		"the same one again in the same life":        {in(1, 10, "v3", Pending), "v3", Pending},
-		"a former order of a life that isn't copied": {in(1, 5, "v2", Pending), "v3", Reverted},
+		"written again":                               {in(2, 7, "v3", Pending), "v3", Reverted},
+		"written again, under a higher revision":      {in(2, 12, "v3", Pending), "v3", Reverted},
+		"in the copy":                                 {copied(in(2, 9, "v3", Pending)), "v3", Reverted},
+		"a former order in the copy":                  {copied(in(2, 5, "v2", Pending)), "v3", Reverted},
+		"another order of the feed":                   {in(2, 7, "v4", Pending), "v4", Pending},
+		"another order, read whole":                   {copied(in(2, 10, "v4", Pending)), "v4", Pending},
+		"the same one again in the same epoch":        {in(1, 10, "v3", Pending), "v3", Pending},
+		"a former order of a epoch that isn't copied": {in(1, 5, "v2", Pending), "v3", Reverted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for order, entries := range map[string][]Entry{"read later": {held, c.read}, "read first": {c.read, held}} {
@@ -51,10 +53,10 @@
 	}
 }
 
-// The operators may write an order again that the copy holds. Later, an order for the same
-// version is one of its own.
-func TestOrderIsWrittenAgainSoonOrAnew(t *testing.T) {
-	for after, want := range map[time.Duration]Phase{time.Second: Reverted, rewriteTime: Pending} {
+// The operators may rewrite an order that the restored copy holds. After rewriteWindow, an
+// order for the same version is a new one.
+func TestEqualOrderIsARewriteOnlyForALimitedTime(t *testing.T) {
+	for after, want := range map[time.Duration]Phase{time.Second: Reverted, rewriteWindow: Pending} {
 		table := NewTable()
 		table.Merge(begin, in(1, 9, "v3", Reverted))
 		table.Merge(begin, copied(in(2, 9, "v3", Pending)))
@@ -65,11 +67,11 @@
 	}
 }
 
-// The life in which the store holds a phase says nothing of another phase.
-func TestKeptBelongsToThePhase(t *testing.T) {
-	kept := func(life uint64, phase Phase) Entry {
+// The epoch in which the store holds one phase doesn't apply to another phase.
+func TestKeptEpochBelongsToThePhase(t *testing.T) {
+	kept := func(epoch uint64, phase Phase) Entry {
 		e := in(1, 9, "v3", phase)
-		e.Kept = life
+		e.Kept = epoch
 		return e
 	}
 	table := NewTable()
--- a/state/rollout/report.go
+++ b/state/rollout/report.go
@@ -7,14 +7,15 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Buckets is the number of buckets of a Tally: half octaves from 4 ms to 16 s.
+// Buckets is the number of histogram buckets of a Tally: half octaves from 4 ms to
+// 16 s. The last one also holds all longer durations.
 const Buckets = 24
 
-// firstBucket is the upper end of the first bucket.
+// firstBucket is the upper bound of the first bucket.
 const firstBucket = 4 * time.Millisecond
 
-// Bucket returns the bucket of a duration: each is wider than the one before by the
-// square root of two.
+// Bucket returns the index of a duration's bucket. Each bucket's upper bound is the square
+// root of two times that of the one before.
 func Bucket(d time.Duration) int {
 	if d <= firstBucket {
 		return 0
@@ -23,38 +24,38 @@
 	return min(int(math.Ceil(2*octaves)), Buckets-1)
 }
 
-// Tally counts what the backend server beside one node has done with one sort of work.
+// Tally holds the results of one workload on the backend server on one node's host.
 type Tally struct {
 	Work model.Work `cbor:"1,keyasint"`
-	// Answers is the number of requests that it has run.
+	// Answers is the number of requests that the backend server has run.
 	Answers uint32 `cbor:"2,keyasint"`
-	// Failed are those that it failed.
+	// Failed is the number of them that failed.
 	Failed uint32 `cbor:"3,keyasint,omitempty"`
-	// Times counts what the others took, by Bucket, once it was no longer slow after its
-	// start.
+	// Times is the histogram of the others' durations, indexed by Bucket, without those
+	// from when the backend server was still slow after its start.
 	Times []uint32 `cbor:"4,keyasint,omitempty"`
 }
 
-// Report is what one node has counted since it knew an order. Reports of one node
-// replace each other by sequence.
+// Report holds the tallies of one node since it received an order. Of the reports of one
+// node, the one with the highest sequence replaces the others.
 type Report struct {
 	Service string `cbor:"1,keyasint"`
-	// Revision is that of the order.
+	// Revision is the order's revision.
 	Revision uint64 `cbor:"2,keyasint"`
-	// Reporter and Incarnation name one start of the node that has counted.
+	// Reporter and Incarnation identify the reporting node and its start.
 	Reporter    model.NodeID `cbor:"3,keyasint"`
 	Incarnation uint64       `cbor:"4,keyasint"`
-	// Version is that of the node's backend server.
+	// Version is the version of the backend server on the node's host.
 	Version string `cbor:"5,keyasint"`
-	// Sequence rises with each report of a start.
+	// Sequence increases with each report of an incarnation.
 	Sequence uint64  `cbor:"6,keyasint"`
 	Tallies  []Tally `cbor:"7,keyasint"`
 }
 
-// maxTallies bounds the sorts of work in a report: a service has a few.
+// maxTallies limits the number of workloads in a report: a service has a few.
 const maxTallies = 16
 
-// Valid reports whether a report can be used: a peer may send any.
+// Valid reports whether a report is well-formed, since a peer may send any content.
 func (r *Report) Valid() bool {
 	if r.Service == "" || r.Reporter == "" || r.Version == "" || len(r.Tallies) > maxTallies {
 		return false
--- a/state/rollout/rollout.go
+++ b/state/rollout/rollout.go
@@ -1,9 +1,9 @@
-// Package rollout holds what nodes know of roll-outs: the operators' order to move a
-// service to another version of its backend servers, how far that has got, and what
-// the backend servers of both versions have been seen to do.
+// Package rollout holds the replicated state of roll-outs: the operators' order to move a
+// service to another version of its backend servers, the phase that the roll-out has
+// reached, and the results of the backend servers of both versions.
 //
-// Entries and reports are merged in any order and any number of times, and all nodes
-// that have heard the same hold the same.
+// Entries and reports can be merged in any order and any number of times; nodes that have
+// received the same ones hold the same state.
 package rollout
 
 import (
@@ -21,42 +21,44 @@
 type Order struct {
 	// Service is the service.
 	Service string `cbor:"1,keyasint"`
-	// Target is the version that it is moved to.
+	// Target is the version to which it is moved.
 	Target string `cbor:"2,keyasint"`
 	// Revision is the order's revision in the store, by store.InLife.
 	Revision uint64 `cbor:"3,keyasint"`
-	// Duration is the time from the order within which the roll-out has to end.
+	// Duration is the time limit of the roll-out, counted from the order.
 	Duration time.Duration `cbor:"4,keyasint"`
-	// Copied says that the revision's life is the one in which the order was read. It may
-	// have been written in an earlier one, from which the store has a copy.
+	// Copied means that the revision's epoch is the one in which the order was read. The
+	// order may have been written in an earlier epoch, of which the store holds a copy.
 	Copied bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Phase is how far a roll-out has got. It only moves down this list.
+// Phase is the progress of a roll-out. It never returns to an earlier phase of the list.
 type Phase uint8
 
 // The phases.
 const (
-	// Pending waits until the store holds that the roll-out runs: should the fleet have
-	// been restarted, it may have ended long ago. The new version gets nothing.
+	// Pending means that the store doesn't yet record the roll-out as running. The new
+	// version gets no requests: if the whole fleet was restarted, the roll-out may have
+	// ended long ago.
 	Pending Phase = iota
-	// Canary sends a small part of the requests to the new version.
+	// Canary sends a small fraction of the requests to the new version.
 	Canary
 	// Shifting sends all requests to the new version. The old backend servers still
-	// run, so that nothing is lost if it has to be taken back.
+	// run, so that a rollback loses no capacity.
 	Shifting
-	// Stopped sends nothing to the new version. The operators don't know yet.
+	// Stopped sends no requests to the new version. The operators haven't been notified
+	// yet.
 	Stopped
-	// Reverted is as Stopped, and the operators know.
+	// Reverted is Stopped after the operators have been notified.
 	Reverted
-	// Succeeded sends everything to the new version, and the operators stop the old
+	// Succeeded sends all requests to the new version, and the operators stop the old
 	// backend servers.
 	Succeeded
 )
 
 var phaseNames = [...]string{"pending", "canary", "shifting", "stopped", "reverted", "succeeded"}
 
-// String returns the name for logs.
+// String returns the phase's name for logs.
 func (p Phase) String() string {
 	if int(p) < len(phaseNames) {
 		return phaseNames[p]
@@ -64,28 +66,29 @@
 	return "unknown"
 }
 
-// Final reports whether the phase is one that the operators have been told of as the
-// roll-out's end.
+// Final reports whether the phase is one that the operators are notified of as the end of
+// the roll-out.
 func (p Phase) Final() bool { return p == Reverted || p == Succeeded }
 
-// Entry is what is known of a service's last roll-out.
+// Entry is the state of a service's last roll-out.
 type Entry struct {
 	Order Order `cbor:"1,keyasint"`
 	Phase Phase `cbor:"2,keyasint"`
-	// Age is the time since the order at the moment that the entry is handed over.
+	// Age is the time since the order, as of when the entry was returned or sent.
 	Age time.Duration `cbor:"3,keyasint"`
-	// Reason says why the version is Stopped or Reverted.
+	// Reason is the reason for the phase Stopped or Reverted.
 	Reason string `cbor:"4,keyasint,omitempty"`
-	// Rejected are versions that earlier orders have named and that were reverted, or
-	// replaced before they had succeeded: they get nothing, also while their backend
-	// servers still run.
+	// Rejected lists the target versions of earlier orders that were reverted, or replaced
+	// before they had succeeded. They get no requests, even while their backend servers
+	// still run.
 	Rejected []string `cbor:"5,keyasint,omitempty"`
-	// Kept is the newest life in which the store is known to hold the phase.
+	// Kept is the newest epoch of the store in which it was seen to hold the phase; 0 if
+	// none.
 	Kept uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// maxRejected bounds the versions that are remembered; their backend servers leave
-// within seconds of the verdict.
+// maxRejected limits the number of rejected versions of an entry. A few suffice: their
+// backend servers leave within seconds of the verdict.
 const maxRejected = 8
 
 // Table holds the last roll-out of each service. It is not safe for concurrent use.
@@ -93,15 +96,16 @@
 	entries map[string]*held
 }
 
-// held is an entry and when its order was written, by the own clock.
+// held is an entry of a table. since is the time of its order by the local clock.
 type held struct {
 	Entry
 	since time.Time
-	// doubted are the targets of orders that this one has replaced before this node knew
-	// of an end. Others may know of one, so they are not told.
-	doubted []string
-	// crossed is when the order was last heard of in another life of the store.
-	crossed time.Time
+	// unresolved lists the targets of orders that this one replaced before this node had
+	// received their outcome. Other nodes may have received it, so the list isn't sent.
+	unresolved []string
+	// otherEpochAt is the time at which the order was last received from another epoch of the
+	// store.
+	otherEpochAt time.Time
 }
 
 // NewTable returns an empty table.
@@ -110,7 +114,7 @@
 // Len returns the number of services with a roll-out.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Get returns what is known of a service's last roll-out.
+// Get returns the state of a service's last roll-out, and false if there is none.
 func (t *Table) Get(now time.Time, service string) (Entry, bool) {
 	h := t.entries[service]
 	if h == nil {
@@ -119,17 +123,18 @@
 	return h.at(now), true
 }
 
-// Doubted returns the versions of which this node doesn't know how their roll-outs have
-// ended, while the store hasn't told either.
+// Doubted returns the target versions of replaced orders whose outcome this node hasn't
+// received. It returns none once the present order is no longer Pending, since the store
+// has settled them by then.
 func (t *Table) Doubted(service string) []string {
 	h := t.entries[service]
 	if h == nil || h.Phase != Pending {
 		return nil
 	}
-	return h.doubted
+	return h.unresolved
 }
 
-// at returns the entry with its age at a moment.
+// at returns a copy of the entry with its age at now.
 func (h *held) at(now time.Time) Entry {
 	e := h.Entry
 	e.Age = now.Sub(h.since)
@@ -137,7 +142,7 @@
 	return e
 }
 
-// All returns what is known of each service, in order of its name.
+// All returns the entries of all services, in order of the service's name.
 func (t *Table) All(now time.Time) []Entry {
 	all := make([]Entry, 0, len(t.entries))
 	for _, h := range t.entries {
@@ -147,14 +152,14 @@
 	return all
 }
 
-// Same reports whether an entry is of the order that is held of its service.
+// Same reports whether an entry is of the order that the table holds for its service.
 func (t *Table) Same(now time.Time, e Entry) bool {
 	h := t.entries[e.Order.Service]
 	return h != nil && h.same(now, &e)
 }
 
-// Merge takes what is known elsewhere and reports whether any of it is news but for its
-// age.
+// Merge adds an entry of another node or the store and reports whether the table changed,
+// apart from ages.
 func (t *Table) Merge(now time.Time, e Entry) bool {
 	if !valid(&e) {
 		return false
@@ -169,39 +174,39 @@
 		return h.merge(now, &e)
 	case e.Order.After(&h.Order):
 		next := newHeld(now, e)
-		next.reject(earlier(&h.Entry)...)
+		next.reject(rejectedBy(&h.Entry)...)
 		if h.Phase == Pending || h.Phase == Canary || h.Phase == Stopped {
-			next.doubted = append(h.doubted, h.Order.Target)
+			next.unresolved = append(h.unresolved, h.Order.Target)
 		}
 		t.entries[e.Order.Service] = next
 		return true
 	default:
-		return h.reject(earlier(&e)...)
+		return h.reject(rejectedBy(&e)...)
 	}
 }
 
-// Replaced takes what the store held when the present order replaced it, and reports
-// whether any of it is news. That is certain: a version that had not succeeded by then
-// never will, and gets nothing.
+// Replaced adds the entry that the store held when the present order replaced it, and
+// reports whether the table changed. That entry is final: a version that had not succeeded
+// by then never will, so it is rejected.
 func (t *Table) Replaced(e Entry) bool {
 	h := t.entries[e.Order.Service]
 	if h == nil || e.Order.Again(&h.Order) || !h.Order.After(&e.Order) {
 		return false
 	}
-	news := h.reject(e.Rejected...)
+	changed := h.reject(e.Rejected...)
 	if e.Phase != Succeeded {
-		news = h.reject(e.Order.Target) || news
+		changed = h.reject(e.Order.Target) || changed
 	}
-	return news
+	return changed
 }
 
-// merge takes another entry of the same order.
+// merge adds another entry of the same order and reports whether h changed.
 func (h *held) merge(now time.Time, e *Entry) bool {
-	news := h.reject(e.Rejected...)
+	changed := h.reject(e.Rejected...)
 	if e.Order.Again(&h.Order) {
-		h.crossed = now
+		h.otherEpochAt = now
 	}
-	news = h.Order.renew(&e.Order) || news
+	changed = h.Order.adoptRevision(&e.Order) || changed
 	if since := now.Add(-e.Age); since.Before(h.since) {
 		h.since = since
 	}
@@ -211,28 +216,29 @@
 	}
 	if e.Phase == h.Phase && e.Kept > h.Kept {
 		h.Kept = e.Kept
-		news = true
+		changed = true
 	}
-	return news
+	return changed
 }
 
+// newHeld returns a table entry for an entry received at now.
 func newHeld(now time.Time, e Entry) *held {
 	e.Rejected = slices.Clone(e.Rejected)
 	return &held{Entry: e, since: now.Add(-e.Age)}
 }
 
-// earlier returns the versions that get nothing by an entry of an earlier order. Its own
-// target is one of them only where the operators have been told so: it may have succeeded
-// meanwhile, which this entry doesn't know.
-func earlier(e *Entry) []string {
+// rejectedBy returns the versions that are rejected according to an entry of an earlier
+// order. Its own target is one of them only if the operators have been notified of that:
+// otherwise it may have succeeded since, which this entry doesn't show.
+func rejectedBy(e *Entry) []string {
 	if e.Phase != Reverted {
 		return e.Rejected
 	}
 	return append(slices.Clone(e.Rejected), e.Order.Target)
 }
 
-// reject adds versions that get nothing, and reports whether one of them is news. What
-// the present order names gets its part again.
+// reject adds rejected versions and reports whether one of them is new. The target of the
+// present order is left out: it may get requests again.
 func (h *held) reject(versions ...string) bool {
 	before := len(h.Rejected)
 	for _, v := range versions {
@@ -244,7 +250,7 @@
 	return len(h.Rejected) > before
 }
 
-// valid reports whether an entry can be used: a peer may send any.
+// valid reports whether an entry is well-formed, since a peer may send any content.
 func valid(e *Entry) bool {
 	o := &e.Order
 	return o.Service != "" && len(o.Service) <= model.MaxNameLength &&
@@ -252,7 +258,7 @@
 		o.Revision > 0 && o.Duration > 0 && e.Phase <= Succeeded && e.Age >= 0 && len(e.Rejected) <= maxRejected
 }
 
-// Digest returns a hash of what a table holds; 0 for an empty one. Ages take no part.
+// Digest returns a hash of the table's entries without their ages; 0 for an empty table.
 func (t *Table) Digest() uint64 {
 	var sum uint64
 	for service, h := range t.entries {
--- a/state/rollout/rollout_test.go
+++ b/state/rollout/rollout_test.go
@@ -14,10 +14,10 @@
 	return Entry{Order: Order{Service: "s", Target: target, Revision: revision, Duration: time.Minute}, Phase: phase}
 }
 
-// A node that was cut off learns of the next order before it learns that the one before
-// it has succeeded. The version that all requests go to was rejected then, and by the
-// node's word at all others.
-func TestSucceededVersionIsNotRejectedWhereTheSuccessComesLate(t *testing.T) {
+// A node that was disconnected may receive the next order before the success of the one
+// before it. It must not reject the version that serves all requests: its entry would
+// make all other nodes reject it too.
+func TestSucceededVersionIsNotRejectedWhenItsSuccessArrivesLate(t *testing.T) {
 	table := NewTable()
 	table.Merge(begin, entry(1, "v2", Canary))
 	table.Merge(begin, entry(2, "v3", Canary))
@@ -28,8 +28,8 @@
 	must.SliceEmpty(t, e.Rejected)
 }
 
-// What the store held when an order replaced it is certain: a version that had not
-// succeeded by then never will.
+// The entry that the store held when an order replaced it is final: a version that had
+// not succeeded by then never will.
 func TestReplacedVersionIsRejected(t *testing.T) {
 	for phase, want := range map[Phase][]string{Canary: {"v2"}, Reverted: {"v2"}, Succeeded: nil} {
 		table := NewTable()
@@ -40,7 +40,7 @@
 	}
 }
 
-// Tables that have heard the same, in any order and any number of times, hold the same.
+// Tables that merge the same entries, in any order and any number of times, are equal.
 func TestMergesInAnyOrder(t *testing.T) {
 	targets := []string{"v2", "v3", "v4"}
 	rapid.Check(t, func(t *rapid.T) {
--- a/state/store/life.go
+++ b/state/store/life.go
@@ -1,28 +1,29 @@
 package store
 
-// A store may come back from an older copy of itself. What it had taken since is gone
-// then, and it gives the same revisions out again for other writes. So a revision also
-// counts the store's lives: those of one life are in the order of its writes, and no two
-// of different lives are equal. A store that doesn't count its lives has life 0.
+// A store may be restored from an older copy. It then loses the later writes and assigns
+// their revisions again to other writes. A revision therefore also holds the store's
+// epoch, which counts its restores: revisions of one epoch are in the order of the writes,
+// and revisions of different epochs are never equal. A store that doesn't report its epoch
+// has epoch 0.
 
-// lifeShift is the number of bits for the transactions of one life: at a thousand a
-// second they last for 8,900 years.
-const lifeShift = 48
+// epochShift is the number of low bits of a revision that hold the transaction number
+// within the epoch: at a thousand transactions a second they last for 8,900 years.
+const epochShift = 48
 
-// MaxLife is the largest life that a revision can tell.
-const MaxLife = 1<<(64-lifeShift) - 1
+// MaxLife is the largest epoch that a revision can hold.
+const MaxLife = 1<<(64-epochShift) - 1
 
-// InLife returns the revision of a transaction in a life of the store. Transaction 0,
-// which stands for no revision, has no life.
-func InLife(life, transaction uint64) uint64 {
+// InLife returns the revision of a transaction in an epoch of the store. It returns 0,
+// which stands for no revision, for transaction 0 of any epoch.
+func InLife(epoch, transaction uint64) uint64 {
 	if transaction == 0 {
 		return 0
 	}
-	return life<<lifeShift | transaction
+	return epoch<<epochShift | transaction
 }
 
-// Life returns the life of the store that a revision belongs to.
-func Life(revision uint64) uint64 { return revision >> lifeShift }
+// Life returns the epoch of the store in which a revision was assigned.
+func Life(revision uint64) uint64 { return revision >> epochShift }
 
-// Transaction returns the number of a revision's transaction in its life.
-func Transaction(revision uint64) uint64 { return revision & (1<<lifeShift - 1) }
+// Transaction returns a revision's transaction number within its epoch.
+func Transaction(revision uint64) uint64 { return revision & (1<<epochShift - 1) }
--- a/state/store/store.go
+++ b/state/store/store.go
@@ -1,6 +1,6 @@
-// Package store says what the product needs of the platform's table service and
-// object store, the only places where anything lasts: two interfaces, their
-// records and their errors. Package platform implements them.
+// Package store defines the interfaces to the platform's table service and object
+// store, which are the only durable storage, with their records and errors. Package
+// platform implements them.
 package store
 
 import (
@@ -14,12 +14,12 @@
 	Key string `json:"key"`
 	// Value is the item's content.
 	Value []byte `json:"value"`
-	// Revision is set by the table service. It rises with each write of the
+	// Revision is set by the table service and increases with each write of the
 	// item; 0 means that the item does not exist.
 	Revision uint64 `json:"revision"`
 }
 
-// Write is one write of a transaction.
+// Write is one conditional write of a transaction.
 type Write struct {
 	// Key is the item's key.
 	Key string `json:"key"`
@@ -35,13 +35,13 @@
 // Table is the transactional table service. All writes are conditional.
 // Implementations are safe for concurrent use.
 type Table interface {
-	// Get reads one item with a consistent read. A missing item has revision
-	// 0 and is no error.
+	// Get returns one item by a consistent read. A missing item is returned with
+	// revision 0 and without an error.
 	Get(ctx context.Context, key string) (Item, error)
-	// List reads the items whose keys start with prefix, in key order, at
-	// most limit of them, after the key after.
+	// List returns at most limit items whose keys start with prefix and sort after
+	// the key after, in key order.
 	List(ctx context.Context, prefix, after string, limit int) ([]Item, error)
-	// Transact carries out all writes or none and returns the new revisions
+	// Transact applies all writes or none and returns the new revisions
 	// in order. It returns a *ConditionError when a condition failed and an
 	// *UnknownError when the writes may have taken effect.
 	Transact(ctx context.Context, writes []Write) ([]uint64, error)
@@ -52,21 +52,21 @@
 type Objects interface {
 	// Put stores an object. Putting the same content again is harmless.
 	Put(ctx context.Context, key string, body []byte) error
-	// Get reads an object. It returns a *NotFoundError for a missing one.
+	// Get returns an object's content. It returns a *NotFoundError for a missing one.
 	Get(ctx context.Context, key string) ([]byte, error)
-	// List reads the keys that start with prefix, in order, at most limit of
-	// them, after the key after.
+	// List returns at most limit keys that start with prefix and sort after the key
+	// after, in order.
 	List(ctx context.Context, prefix, after string, limit int) ([]string, error)
 	// Delete removes an object. Removing a missing one is no error.
 	Delete(ctx context.Context, key string) error
 }
 
-// ConditionError reports a transaction that was refused whole because an item
+// ConditionError reports a transaction that was rejected as a whole because an item
 // did not have the required revision. Nothing was written.
 type ConditionError struct {
 	// Key is the first item whose condition failed.
 	Key string
-	// Current is the item as it is.
+	// Current is that item as the store holds it.
 	Current Item
 }
 
@@ -75,10 +75,10 @@
 	return fmt.Sprintf("item %s has revision %d: condition failed", e.Key, e.Current.Revision)
 }
 
-// Conflict returns the *ConditionError of a transaction that was refused, by the items of its
-// writes as they are: the first whose revision isn't the required one. An item
-// that is not among them doesn't exist. It returns nil where every condition
-// holds.
+// Conflict returns the *ConditionError of a rejected transaction: it names the first
+// write whose item doesn't have the required revision. current holds the items of the
+// writes as the store has them; an item that is missing there doesn't exist. Conflict
+// returns nil if all conditions hold.
 func Conflict(writes []Write, current []Item) error {
 	held := make(map[string]Item, len(current))
 	for _, it := range current {
@@ -119,8 +119,8 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// RefusedError reports a call that the platform refuses whenever it is made, such
-// as a malformed one. It had no effect.
+// RefusedError reports a call that the platform rejects permanently, such as a
+// malformed one, so a retry can't succeed. It had no effect.
 type RefusedError struct {
 	// Op names the call.
 	Op string
@@ -134,8 +134,9 @@
 // Unwrap returns the cause.
 func (e *RefusedError) Unwrap() error { return e.Err }
 
-// UnknownError reports a write that may have taken effect: its answer was lost
-// or late. It is settled by reading, never by writing again blindly.
+// UnknownError reports a write that may have taken effect, because its response was
+// lost or late. The caller finds the outcome by reading and must not repeat the write
+// without that.
 type UnknownError struct {
 	// Op names the call.
 	Op string
--- a/state/suspect/fingerprint.go
+++ b/state/suspect/fingerprint.go
@@ -1,9 +1,10 @@
-// Package suspect holds which requests are suspected to crash the backend servers
-// that run them, on what evidence, and from when on they are no longer sent.
+// Package suspect records requests that are suspected to crash the backend servers that
+// run them, the evidence against each, and whether it is quarantined, that is, no longer
+// sent.
 //
-// The evidence is soft state that all nodes share: the crashes under which a request
-// was running, each with the backend server's start. It only grows, so that copies
-// are merged in any order, and ages by the time of the crash.
+// The evidence is soft state that all nodes share: the crashes of backend server instances
+// during which a request was in flight. Evidence is only added, so copies can be merged in
+// any order, and it expires by the time of the crash.
 package suspect
 
 import (
@@ -11,17 +12,17 @@
 	"strings"
 )
 
-// Fingerprint identifies what a request asks for, whoever sends it, at whichever
-// node and however often. 0 stands for none.
+// Fingerprint is a hash of a request's content. It is the same for every caller, node and
+// retry. 0 stands for no fingerprint.
 type Fingerprint uint64
 
-// hexBase is the base in which fingerprints are written.
+// hexBase is the number base of fingerprints in text.
 const hexBase = 16
 
-// String returns the fingerprint as it stands in logs and headers.
+// String returns the fingerprint in the form used in logs and headers.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), hexBase) }
 
-// FingerprintError reports a text that is no fingerprint.
+// FingerprintError reports a text that is not a valid fingerprint.
 type FingerprintError struct {
 	// Found is the text.
 	Found string
@@ -32,7 +33,7 @@
 	return "fingerprint " + strconv.Quote(e.Found) + ": want up to 16 hexadecimal digits"
 }
 
-// ParseFingerprint reads what String returns. The error is a *FingerprintError.
+// ParseFingerprint parses the result of String. The error is a *FingerprintError.
 func ParseFingerprint(s string) (Fingerprint, error) {
 	f, err := strconv.ParseUint(s, hexBase, 64)
 	if err != nil {
@@ -41,7 +42,7 @@
 	return Fingerprint(f), nil
 }
 
-// Join returns fingerprints as they stand in a log line, with commas between them.
+// Join returns fingerprints separated by commas, as in a log line.
 func Join(fingerprints []Fingerprint) string {
 	texts := make([]string, 0, len(fingerprints))
 	for _, f := range fingerprints {
--- a/state/suspect/table.go
+++ b/state/suspect/table.go
@@ -6,55 +6,56 @@
 	"time"
 )
 
-// Threshold is the number of backend servers that have to end under a request before
-// it is quarantined. One that ends has up to as many requests under way as it has
-// slots, all of them suspects; the next two tell the one that is to blame from those
-// that were there by chance. The users' platform allows three as well.
+// Threshold is the number of crashes with a request in flight after which that request is
+// quarantined. A backend server that crashes has up to as many requests in flight as it
+// has slots, and all of them become suspects; the next two crashes distinguish the cause
+// from requests that were in flight by chance. The users' platform allows three as well.
 const Threshold = 3
 
 const (
-	// Memory is how long a crash is remembered that has not led to a quarantine.
+	// Memory is the retention time of a suspect after its last crash, unless it is
+	// quarantined.
 	Memory = 10 * time.Minute
-	// Quarantine is how long a quarantined request isn't sent, from its last crash
-	// on: a day for the fault to be mended. Each end of it may cost backend servers
-	// again.
+	// Quarantine is the time from its last crash for which a quarantined request isn't
+	// sent: a day, so that the fault can be fixed. The request may crash backend servers
+	// again each time that a quarantine ends.
 	Quarantine = 24 * time.Hour
-	// MaxEntries bounds the requests in a table: some 50 KB. A crash makes a suspect
-	// of each request under way, so 70 backend servers with 7 slots that end at once
-	// fit.
+	// MaxEntries limits the number of requests in a table, to some 50 KB. A crash makes
+	// each request in flight a suspect, so simultaneous crashes of 70 backend servers
+	// with 7 slots fit.
 	MaxEntries = 512
-	// maxCrashes bounds the crashes of one request that are told apart.
+	// maxCrashes limits the number of crashes recorded for one request.
 	maxCrashes = 2 * Threshold
 )
 
-// Crash is the end of one start of a backend server that had not said goodbye.
+// Crash is the end of a backend server's instance without a goodbye.
 type Crash struct {
-	// ID tells it from all others.
+	// ID identifies the crash.
 	ID uint64 `cbor:"1,keyasint"`
-	// At is when it was noticed, in seconds of Unix time.
+	// At is the time at which it was detected, in seconds of Unix time.
 	At int64 `cbor:"2,keyasint"`
 }
 
-// Evidence is a crash under which a request was running.
+// Evidence is a crash during which a request was in flight.
 type Evidence struct {
 	Crash Crash `cbor:"1,keyasint"`
-	// Refuted says that the request has succeeded since: it was there by chance.
+	// Refuted means that the request has succeeded since, so it didn't cause the crash.
 	Refuted bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Entry is what is known of one suspected request.
+// Entry holds the evidence against one suspected request.
 type Entry struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
 	Evidence    []Evidence  `cbor:"2,keyasint"`
 }
 
-// Quarantined reports whether the evidence is enough.
+// Quarantined reports whether enough crashes count against the request.
 func (e *Entry) Quarantined() bool { return e.counted() >= Threshold }
 
-// Near reports whether one more crash would quarantine the request, or has.
+// Near reports whether the request is quarantined or would be after one more crash.
 func (e *Entry) Near() bool { return e.counted() >= Threshold-1 }
 
-// counted returns the number of crashes that count against the request.
+// counted returns the number of crashes that count against the request: those not refuted.
 func (e *Entry) counted() int {
 	n := 0
 	for i := range e.Evidence {
@@ -65,7 +66,7 @@
 	return n
 }
 
-// last returns when the last crash was.
+// last returns the time of the last crash in seconds of Unix time.
 func (e *Entry) last() int64 {
 	var at int64
 	for i := range e.Evidence {
@@ -74,23 +75,23 @@
 	return at
 }
 
-// outdated reports whether the entry is to be forgotten.
+// outdated reports whether the retention time of the entry is over.
 func (e *Entry) outdated(now time.Time) bool {
-	kept := Memory
+	retention := Memory
 	if e.Quarantined() {
-		kept = Quarantine
+		retention = Quarantine
 	}
-	return now.Sub(time.Unix(e.last(), 0)) > kept
+	return now.Sub(time.Unix(e.last(), 0)) > retention
 }
 
-// add merges one piece of evidence and reports whether it is news. Of too many the
-// newest are kept, in order, so that tables that have heard the same are alike.
+// add merges one piece of evidence and reports whether the entry changed. It keeps the
+// newest maxCrashes in order, so that tables that have merged the same evidence are equal.
 func (e *Entry) add(v Evidence) bool {
 	i := slices.IndexFunc(e.Evidence, func(o Evidence) bool { return o.Crash.ID == v.Crash.ID })
 	if i >= 0 {
-		news := v.Refuted && !e.Evidence[i].Refuted
+		changed := v.Refuted && !e.Evidence[i].Refuted
 		e.Evidence[i].Refuted = e.Evidence[i].Refuted || v.Refuted
-		return news
+		return changed
 	}
 	at, _ := slices.BinarySearchFunc(e.Evidence, v, newestFirst)
 	if at >= maxCrashes {
@@ -101,7 +102,7 @@
 	return true
 }
 
-// newestFirst orders evidence by the time of its crash.
+// newestFirst orders evidence by the time of its crash, the newest first, then by ID.
 func newestFirst(a, b Evidence) int {
 	if c := cmp.Compare(b.Crash.At, a.Crash.At); c != 0 {
 		return c
@@ -109,8 +110,8 @@
 	return cmp.Compare(a.Crash.ID, b.Crash.ID)
 }
 
-// Table holds the suspected requests. It is not safe for concurrent use: one
-// goroutine owns it and publishes a View for the path of a request.
+// Table holds the suspected requests. It is not safe for concurrent use: one goroutine
+// owns it and publishes a View for the goroutines that serve requests.
 type Table struct {
 	entries map[Fingerprint]*Entry
 }
@@ -141,37 +142,37 @@
 	return all
 }
 
-// clockLead is how far ahead of the own clock a crash may have been noticed: clocks
-// of hosts differ, and step by seconds.
-const clockLead = time.Minute
+// maxClockLead is the maximum by which the time of a crash may be ahead of the local clock:
+// the clocks of hosts differ and step by seconds.
+const maxClockLead = time.Minute
 
-// Merge takes what another table holds of a request, and reports whether any of it
-// is news.
+// Merge adds the evidence of another table's entry and reports whether the table changed.
+// It ignores crashes older than Quarantine, and removes the entry if it is outdated.
 func (t *Table) Merge(now time.Time, e Entry) bool {
 	if e.Fingerprint == 0 {
 		return false
 	}
-	news := false
+	changed := false
 	for _, v := range e.Evidence {
-		v.Crash.At = min(v.Crash.At, now.Add(clockLead).Unix())
+		v.Crash.At = min(v.Crash.At, now.Add(maxClockLead).Unix())
 		if now.Sub(time.Unix(v.Crash.At, 0)) > Quarantine {
 			continue
 		}
 		held := t.entries[e.Fingerprint]
 		if held == nil {
-			held = t.make(e.Fingerprint)
+			held = t.insert(e.Fingerprint)
 		}
-		news = held.add(v) || news
+		changed = held.add(v) || changed
 	}
 	if held := t.entries[e.Fingerprint]; held != nil && held.outdated(now) {
 		delete(t.entries, e.Fingerprint)
 		return false
 	}
-	return news
+	return changed
 }
 
-// make adds an entry, in the place of the oldest where the table is full.
-func (t *Table) make(f Fingerprint) *Entry {
+// insert adds an entry; if the table is full, it evicts the one that oldest returns.
+func (t *Table) insert(f Fingerprint) *Entry {
 	if len(t.entries) >= MaxEntries {
 		delete(t.entries, t.oldest())
 	}
@@ -180,8 +181,8 @@
 	return e
 }
 
-// oldest returns the entry to give up first: a suspect before a quarantined one,
-// then the one with the oldest crash.
+// oldest returns the fingerprint of the entry to evict first: suspects before quarantined
+// requests, then the one whose last crash is the oldest.
 func (t *Table) oldest() Fingerprint {
 	all := t.All()
 	e := slices.MinFunc(all, func(a, b Entry) int {
@@ -196,22 +197,22 @@
 	return e.Fingerprint
 }
 
-// Refute notes that a request has succeeded: no crash so far was its fault. It
-// reports whether that is news.
+// Refute records that a request has succeeded, so that it caused none of the crashes so
+// far. It reports whether the table changed.
 func (t *Table) Refute(f Fingerprint) bool {
 	e := t.entries[f]
 	if e == nil {
 		return false
 	}
-	news := false
+	changed := false
 	for i := range e.Evidence {
-		news = news || !e.Evidence[i].Refuted
+		changed = changed || !e.Evidence[i].Refuted
 		e.Evidence[i].Refuted = true
 	}
-	return news
+	return changed
 }
 
-// Expire forgets what is outdated and reports whether there was any.
+// Expire removes the outdated entries and reports whether there were any.
 func (t *Table) Expire(now time.Time) bool {
 	before := len(t.entries)
 	for f, e := range t.entries {
@@ -222,9 +223,9 @@
 	return len(t.entries) < before
 }
 
-// Digest returns a hash of the crashes in the table; 0 for an empty one. What has
-// been refuted takes no part: it matters only where it is near the threshold, and
-// is then told at once.
+// Digest returns a hash of the crashes in the table; 0 for an empty one. It excludes
+// whether they are refuted: that matters only near the threshold, and then it is sent to
+// the other nodes immediately.
 func (t *Table) Digest() uint64 {
 	var sum uint64
 	for f, e := range t.entries {
--- a/state/suspect/table_test.go
+++ b/state/suspect/table_test.go
@@ -10,7 +10,7 @@
 
 var begin = time.Unix(1_000_000, 0)
 
-// crash returns evidence of the crash with an ID, so many seconds after begin.
+// crash returns an entry with one crash, with an ID and the given seconds after begin.
 func crash(id uint64, after int64) Entry {
 	return Entry{Fingerprint: 7, Evidence: []Evidence{{Crash: Crash{ID: id, At: begin.Unix() + after}}}}
 }
@@ -21,7 +21,7 @@
 	for id := range uint64(Threshold) {
 		must.False(t, table.View().Quarantined(7))
 		must.True(t, table.Merge(begin, crash(id, 0)))
-		must.False(t, table.Merge(begin, crash(id, 0)), must.Sprint("one crash counts once"))
+		must.False(t, table.Merge(begin, crash(id, 0)), must.Sprint("a crash must count once"))
 		must.True(t, table.View().Suspected(7))
 	}
 	must.True(t, table.View().Quarantined(7))
@@ -35,12 +35,12 @@
 	must.True(t, table.Refute(7))
 	must.False(t, table.Refute(7))
 	must.False(t, table.View().Suspected(7))
-	table.Merge(begin, crash(1, 0)) // a copy that hasn't heard of it
+	table.Merge(begin, crash(1, 0)) // a copy without the refutation
 	table.Merge(begin, crash(3, 0))
 	must.False(t, table.View().Quarantined(7))
 }
 
-func TestEvidenceAges(t *testing.T) {
+func TestEvidenceExpires(t *testing.T) {
 	table := NewTable()
 	table.Merge(begin, crash(1, 0))
 	must.False(t, table.Expire(begin.Add(Memory)))
@@ -50,18 +50,18 @@
 	must.True(t, table.View().Quarantined(7))
 	must.False(t, table.Expire(begin.Add(Quarantine)))
 	must.True(t, table.Expire(begin.Add(Quarantine+time.Second)))
-	must.False(t, table.Merge(begin.Add(Quarantine+time.Second), Stored(7, begin)), must.Sprint("an old quarantine doesn't come back"))
+	must.False(t, table.Merge(begin.Add(Quarantine+time.Second), Stored(7, begin)), must.Sprint("an expired quarantine must not return"))
 	must.Nil(t, table.View())
 }
 
-// A clock that is ahead makes no quarantine outlast its time.
-func TestCrashOfTheFutureAges(t *testing.T) {
+// A crash reported by a host whose clock is ahead must not be retained for longer.
+func TestCrashTimeInTheFutureExpires(t *testing.T) {
 	table := NewTable()
 	table.Merge(begin, crash(1, 1<<40))
-	must.True(t, table.Expire(begin.Add(Memory+clockLead+time.Second)))
+	must.True(t, table.Expire(begin.Add(Memory+maxClockLead+time.Second)))
 }
 
-func TestFullTableGivesUpSuspectsFirst(t *testing.T) {
+func TestFullTableEvictsSuspectsFirst(t *testing.T) {
 	table := NewTable()
 	table.Merge(begin, Stored(7, begin))
 	for f := range Fingerprint(2 * MaxEntries) {
@@ -75,7 +75,7 @@
 	must.False(t, table.View().Suspected(100))
 }
 
-// Whatever order copies are merged in, tables end alike.
+// Tables that merge the same entries in any order are equal.
 func TestTablesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry {
@@ -101,8 +101,8 @@
 	})
 }
 
-// The path of each request asks a view. Before there was none; with 512 suspects the
-// question takes 15 ns and allocates nothing.
+// Each request is looked up in a view, so the lookup must be cheap: with 512 suspects it
+// takes 15 ns and allocates nothing.
 func BenchmarkQuarantined(b *testing.B) {
 	table := NewTable()
 	for f := range Fingerprint(MaxEntries) {
--- a/state/suspect/view.go
+++ b/state/suspect/view.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// View is what the path of a request needs of a table: an immutable copy. The nil
-// View is empty.
+// View is an immutable copy of the part of a table that is needed to serve requests. A
+// nil View is empty.
 type View struct {
 	quarantined map[Fingerprint]bool // false for suspects
 }
 
-// View returns a view of the table; nil of an empty one.
+// View returns a view of the table; nil if the table is empty.
 func (t *Table) View() *View {
 	if len(t.entries) == 0 {
 		return nil
@@ -22,7 +22,7 @@
 	return v
 }
 
-// Quarantined reports whether a request is not to be sent.
+// Quarantined reports whether a request is quarantined and so must not be sent.
 func (v *View) Quarantined(f Fingerprint) bool { return v != nil && v.quarantined[f] }
 
 // Suspected reports whether a request has evidence against it that its success
@@ -43,7 +43,7 @@
 	return len(v.quarantined)
 }
 
-// Quarantines returns the number of requests that are not to be sent.
+// Quarantines returns the number of quarantined requests.
 func (v *View) Quarantines() int {
 	n := 0
 	if v != nil {
@@ -56,8 +56,8 @@
 	return n
 }
 
-// Stored returns the entry of a quarantine that is read from a store, of which only
-// the time of the last crash is kept.
+// Stored returns the entry of a quarantine read from the store, which holds only the time
+// of the last crash: the entry gets Threshold crashes at that time.
 func Stored(f Fingerprint, at time.Time) Entry {
 	e := Entry{Fingerprint: f}
 	for i := range Threshold {
@@ -66,5 +66,5 @@
 	return e
 }
 
-// LastCrash returns when the last crash of the entry was noticed.
+// LastCrash returns the time at which the last crash of the entry was detected.
 func (e *Entry) LastCrash() time.Time { return time.Unix(e.last(), 0) }
