--- a/state/instance/local.go
+++ b/state/instance/local.go
@@ -89,7 +89,8 @@
 	return startDraining(now, &l.current)
 }
 
-// startDraining replaces an instance by a draining copy and reports whether it was ready before.
+// startDraining replaces an instance by a draining copy if it is ready, and reports whether
+// it was.
 func startDraining(now time.Time, i **Instance) bool {
 	if (*i).State != Ready {
 		return false
@@ -126,8 +127,8 @@
 	return true
 }
 
-// restoreReplaced returns the replaced instance and no longer records it as gone; nil if there
-// is none.
+// restoreReplaced returns the replaced instance and no longer records it as gone. It
+// returns nil if there is none.
 func (l *Local) restoreReplaced() *Instance {
 	r := l.replaced
 	l.replaced = nil
--- a/state/instance/property_test.go
+++ b/state/instance/property_test.go
@@ -10,7 +10,8 @@
 
 // Messages of several instances with one identifier arrive late and in any order. An
 // instance that has left is never ready again, and the current instance is the newest one
-// that has sent a heartbeat and has not left.
+// that has sent a heartbeat and has not left. While it sends heartbeats, an earlier one
+// doesn't replace it.
 func TestMessagesInAnyOrder(t *testing.T) {
 	const starts = 4
 	rapid.Check(t, func(t *rapid.T) {
--- a/state/instance/start_test.go
+++ b/state/instance/start_test.go
@@ -21,8 +21,8 @@
 	must.NotEq(t, Start{ID: "a", Born: 1}.Key(), Start{ID: "a", Born: 2}.Key())
 }
 
-// A restarted backend server counts its heartbeats from the beginning and reports ready
-// again, whatever state its former instance was in.
+// A restarted backend server counts its heartbeats from the beginning and is ready again,
+// whatever state its former instance was in.
 func TestRestartedBackendServerIsANewInstance(t *testing.T) {
 	for name, end := range map[string]func(*Local){
 		"it crashed":       func(*Local) {},
--- a/state/rollout/order.go
+++ b/state/rollout/order.go
@@ -44,8 +44,8 @@
 	return o.Revision > other.Revision
 }
 
-// adoptRevision takes over the revision of other, which is the same order, if that is a later one,
-// and reports whether it was.
+// adoptRevision takes over the revision of other, which is the same order, if it is a later
+// one, and reports whether it was.
 func (o *Order) adoptRevision(other *Order) bool {
 	if other.Revision < o.Revision {
 		return false
--- a/state/rollout/order_test.go
+++ b/state/rollout/order_test.go
@@ -37,7 +37,7 @@
 		"another order of the feed":                   {in(2, 7, "v4", Pending), "v4", Pending},
 		"another order, read whole":                   {copied(in(2, 10, "v4", Pending)), "v4", Pending},
 		"the same one again in the same epoch":        {in(1, 10, "v3", Pending), "v3", Pending},
-		"a former order of a epoch that isn't copied": {in(1, 5, "v2", Pending), "v3", Reverted},
+		"a former order of an epoch that isn't copied": {in(1, 5, "v2", Pending), "v3", Reverted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for order, entries := range map[string][]Entry{"read later": {held, c.read}, "read first": {c.read, held}} {
