--- a/coordination/docsync/core.go
+++ b/coordination/docsync/core.go
@@ -148,7 +148,7 @@
 	if p.sameZone {
 		for _, id := range slices.Sorted(maps.Keys(c.beacons)) {
 			if b := c.beacons[id]; c.now.Sub(b.receivedAt) < c.cfg.BeaconInterval && id != r.Node {
-				c.send(r.Node, &message.ReaderBeacon{Reader: id, Incarnation: b.incarnation, Sequence: b.sequence, Life: b.epoch})
+				c.send(r.Node, &message.ReaderBeacon{Reader: id, Incarnation: b.incarnation, Sequence: b.sequence, Epoch: b.epoch})
 			}
 		}
 	}
--- a/coordination/docsync/core_test.go
+++ b/coordination/docsync/core_test.go
@@ -423,7 +423,7 @@
 		for _, a := range actions {
 			if s, ok := a.(core.Send); ok {
 				if m, ok := s.Message.(*message.ReaderBeacon); ok {
-					sent = append(sent, m.Life)
+					sent = append(sent, m.Epoch)
 				}
 			}
 		}
@@ -477,12 +477,12 @@
 	beaconsSent := func(after time.Duration, zone model.Zone) (readers []model.NodeID) {
 		h := newHarness(t)
 		h.connect("near", "z1")
-		h.receive("near", &message.ReaderBeacon{Reader: "a", Incarnation: 1, Sequence: 7, Life: 2})
+		h.receive("near", &message.ReaderBeacon{Reader: "a", Incarnation: 1, Sequence: 7, Epoch: 2})
 		h.advance(after)
 		for _, a := range h.step(core.PeerUp{Record: record("new", zone)}) {
 			if s, ok := a.(core.Send); ok {
 				if m, ok := s.Message.(*message.ReaderBeacon); ok {
-					must.Eq(t, message.ReaderBeacon{Reader: "a", Incarnation: 1, Sequence: 7, Life: 2}, *m)
+					must.Eq(t, message.ReaderBeacon{Reader: "a", Incarnation: 1, Sequence: 7, Epoch: 2}, *m)
 					readers = append(readers, s.To)
 				}
 			}
--- a/coordination/docsync/reading.go
+++ b/coordination/docsync/reading.go
@@ -108,7 +108,7 @@
 	}
 	c.nextBeaconAt = c.now.Add(c.cfg.BeaconInterval)
 	c.sequence++
-	c.relay("", &message.ReaderBeacon{Reader: c.self.Node, Incarnation: c.self.Incarnation, Sequence: c.sequence, Life: c.epoch})
+	c.relay("", &message.ReaderBeacon{Reader: c.self.Node, Incarnation: c.self.Incarnation, Sequence: c.sequence, Epoch: c.epoch})
 }
 
 // handleBeacon records a reader's beacon and relays it, unless it has already received this beacon
@@ -123,7 +123,7 @@
 	if older {
 		return
 	}
-	c.beacons[m.Reader] = beacon{incarnation: m.Incarnation, sequence: m.Sequence, epoch: m.Life, receivedAt: c.now}
+	c.beacons[m.Reader] = beacon{incarnation: m.Incarnation, sequence: m.Sequence, epoch: m.Epoch, receivedAt: c.now}
 	if d := c.pending; d != nil {
 		c.apply(d.Version, d.Body, c.pendingFrom)
 	}
--- a/coordination/evacuation/core.go
+++ b/coordination/evacuation/core.go
@@ -111,7 +111,7 @@
 // cancel cancels an evacuation that the store no longer holds: at once, or after restoredWait
 // if the store was restored from an older copy.
 func (c *Core) cancel(end, held evacuation.Order) {
-	if store.Life(end.Revision) == store.Life(held.Revision) {
+	if store.Epoch(end.Revision) == store.Epoch(held.Revision) {
 		c.merge("", end)
 		return
 	}
--- a/coordination/evacuation/core_test.go
+++ b/coordination/evacuation/core_test.go
@@ -153,14 +153,14 @@
 // evacuation must stay in force meanwhile.
 func TestRestoredStoreDoesNotCancelAtOnce(t *testing.T) {
 	w := newWorld(5)
-	w.step(0, Read{Orders: []evacuation.Order{order("a", store.InLife(1, 70), true)}})
-	w.step(0, Read{WholeRevision: store.InLife(2, 40)})
+	w.step(0, Read{Orders: []evacuation.Order{order("a", store.InEpoch(1, 70), true)}})
+	w.step(0, Read{WholeRevision: store.InEpoch(2, 40)})
 	w.wait(5 * time.Second)
 	must.True(t, w.all("a"))
-	w.step(1, Read{Orders: []evacuation.Order{order("a", store.InLife(2, 44), true)}})
+	w.step(1, Read{Orders: []evacuation.Order{order("a", store.InEpoch(2, 44), true)}})
 	w.wait(20 * time.Second)
 	must.True(t, w.all("a"), must.Sprint("written again"))
-	w.step(0, Read{WholeRevision: store.InLife(3, 30)})
+	w.step(0, Read{WholeRevision: store.InEpoch(3, 30)})
 	w.wait(11 * time.Second)
 	must.True(t, w.all(), must.Sprint("not written again"))
 }
--- a/coordination/freshness/core.go
+++ b/coordination/freshness/core.go
@@ -116,7 +116,7 @@
 	case *message.DocumentAdvert:
 		c.observeVersion(m.Version)
 	case *message.ReaderBeacon:
-		c.observeEpoch(m.Life)
+		c.observeEpoch(m.Epoch)
 	case *message.Freshness:
 		if p, ok := c.decode(from, m); ok {
 			return c.accept(p)
--- a/coordination/freshness/core_test.go
+++ b/coordination/freshness/core_test.go
@@ -347,9 +347,9 @@
 		epoch uint64
 	}{
 		"event":  {EpochSeen{Epoch: 2}, 2},
-		"beacon": {core.Received{From: "p", Message: &message.ReaderBeacon{Reader: "p", Life: 2}}, 2},
+		"beacon": {core.Received{From: "p", Message: &message.ReaderBeacon{Reader: "p", Epoch: 2}}, 2},
 		"read":   {Read{Began: at.Add(time.Second), Version: 3, Epoch: 2}, 2},
-		"peer":   {core.Received{From: "p", Message: &message.Freshness{Stamp: 60, Life: 2}}, 2},
+		"peer":   {core.Received{From: "p", Message: &message.Freshness{Stamp: 60, Epoch: 2}}, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _ := newCoreWithPeer(t)
@@ -369,7 +369,7 @@
 func TestEpochFromAnotherSourceCountsAsFirst(t *testing.T) {
 	for name, ev := range map[string]core.Event{
 		"call":   EpochSeen{Epoch: 1},
-		"beacon": core.Received{From: "p", Message: &message.ReaderBeacon{Reader: "p", Life: 1}},
+		"beacon": core.Received{From: "p", Message: &message.ReaderBeacon{Reader: "p", Epoch: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _ := newCoreWithPeer(t)
--- a/coordination/freshness/pass.go
+++ b/coordination/freshness/pass.go
@@ -59,7 +59,7 @@
 		}
 		p.stamp, p.stampArrived = m.Stamp, c.now
 	}
-	c.observeEpoch(m.Life)
+	c.observeEpoch(m.Epoch)
 	maxOffset := c.cfg.MaxStampAge.Milliseconds()
 	known := m.Echo >= p.firstStamp && m.Echo <= p.lastStamp
 	if m.Version == 0 || !known || m.Offset < -maxOffset || m.Offset > maxOffset {
@@ -110,7 +110,7 @@
 
 // send sends a stamp, and the proof unless it is empty.
 func (c *Core) send(to model.NodeID, p *peer, best proof) {
-	m := &message.Freshness{Stamp: c.stamp(), Echo: p.stamp, Life: c.epoch}
+	m := &message.Freshness{Stamp: c.stamp(), Echo: p.stamp, Epoch: c.epoch}
 	if best.version != 0 {
 		m.Version = best.version
 		m.Offset = floorMillis(best.moment.Sub(p.stampArrived))
--- a/coordination/quarantine/core.go
+++ b/coordination/quarantine/core.go
@@ -133,7 +133,7 @@
 		c.changed = true
 		c.pending[e.Fingerprint] = c.source(e.Fingerprint, from)
 		after, _ := c.table.Get(e.Fingerprint)
-		c.urgent = c.urgent || after.Near()
+		c.urgent = c.urgent || after.NearThreshold()
 		if after.Quarantined() && !before.Quarantined() {
 			c.act(Quarantined{Entry: after, Witness: c.witness(after)})
 		}
@@ -164,7 +164,7 @@
 		return
 	}
 	c.changed = true
-	if before.Near() {
+	if before.NearThreshold() {
 		c.pending[f] = ""
 		c.urgent = true
 	}
--- a/coordination/restore/restore.go
+++ b/coordination/restore/restore.go
@@ -96,7 +96,7 @@
 		return c.observe(now, ev.Epoch)
 	case core.Received:
 		if m, ok := ev.Message.(*message.ReaderBeacon); ok {
-			return c.observe(now, m.Life)
+			return c.observe(now, m.Epoch)
 		}
 	}
 	return nil
--- a/coordination/restore/restore_test.go
+++ b/coordination/restore/restore_test.go
@@ -49,7 +49,7 @@
 func TestEachRestoreIsReportedOnce(t *testing.T) {
 	c := New(DefaultConfig(), 1)
 	beacon := func(epoch uint64) core.Event {
-		return core.Received{From: "a", Message: &message.ReaderBeacon{Reader: "a", Life: epoch}}
+		return core.Received{From: "a", Message: &message.ReaderBeacon{Reader: "a", Epoch: epoch}}
 	}
 	must.SliceEmpty(t, c.Step(begin, EpochSeen{Epoch: 2}))
 	must.Eq(t, []core.Action{Restored{Epoch: 3}}, c.Step(begin, beacon(3)))
--- a/coordination/rollout/core.go
+++ b/coordination/rollout/core.go
@@ -234,7 +234,7 @@
 		if c.view != nil {
 			servers = c.view.Service(service)
 		}
-		rt.services[service] = newRouting(&e, c.table.Doubted(service), servers, r)
+		rt.services[service] = newRouting(&e, c.table.Unresolved(service), servers, r)
 	}
 	return rt
 }
--- a/coordination/rollout/core_test.go
+++ b/coordination/rollout/core_test.go
@@ -162,7 +162,7 @@
 		f.step(i, Recorded{Service: svc, Err: &noAnswer{}})
 		return
 	}
-	if a.Row != 0 && store.Life(a.Row) != f.store.epoch {
+	if a.Row != 0 && store.Epoch(a.Row) != f.store.epoch {
 		f.step(i, Recorded{Service: svc, Err: &noAnswer{}, Outdated: true})
 		return
 	}
@@ -171,8 +171,8 @@
 			must.Eq(f.t, f.store.held.Phase, a.Entry.Phase, must.Sprint("a recorded verdict must not change"))
 		}
 		e := a.Entry
-		e.Kept = f.store.epoch
-		f.store.held, f.store.revision = &e, store.InLife(f.store.epoch, store.Transaction(f.store.revision)+1)
+		e.StoredEpoch = f.store.epoch
+		f.store.held, f.store.revision = &e, store.InEpoch(f.store.epoch, store.Transaction(f.store.revision)+1)
 	}
 	held := *f.store.held
 	f.step(i, Recorded{Service: svc, Held: &held, Row: f.store.revision})
--- a/coordination/rollout/decide.go
+++ b/coordination/rollout/decide.go
@@ -163,7 +163,7 @@
 	e, _ := c.table.Get(c.now, ev.Service)
 	// After a restore, the row may be older than what became of its order, so it doesn't
 	// count as the end of a replaced order.
-	if c.epoch == 0 && e.Order.After(&ev.Held.Order) && !e.Order.Again(&ev.Held.Order) {
+	if c.epoch == 0 && e.Order.After(&ev.Held.Order) && !e.Order.RewriteOf(&ev.Held.Order) {
 		if c.table.Replaced(*ev.Held) { // the next write replaces the row
 			c.markPending(ev.Service)
 		}
--- a/coordination/rollout/restored.go
+++ b/coordination/rollout/restored.go
@@ -10,7 +10,7 @@
 func (c *Core) restored(epoch uint64) {
 	c.epoch, c.restoredAt = epoch, c.now
 	for _, r := range c.rollouts {
-		if store.Life(r.rowRevision) != epoch {
+		if store.Epoch(r.rowRevision) != epoch {
 			r.rowRevision = 0
 		}
 	}
@@ -23,7 +23,7 @@
 		return
 	}
 	e, _ := c.table.Get(c.now, service)
-	if e.Kept >= c.epoch || !c.rankDelayElapsed(r, c.now.Sub(c.restoredAt)) {
+	if e.StoredEpoch >= c.epoch || !c.rankDelayElapsed(r, c.now.Sub(c.restoredAt)) {
 		return
 	}
 	if phase := storedPhase(e.Phase); phase != rollout.Pending {
@@ -47,8 +47,8 @@
 // markStored records in the entry that the restored store holds what it should of an order.
 func (c *Core) markStored(held *rollout.Entry) {
 	e, _ := c.table.Get(c.now, held.Order.Service)
-	if held.Phase == storedPhase(e.Phase) && (held.Order.Revision == e.Order.Revision || held.Order.Again(&e.Order)) {
-		e.Kept = max(e.Kept, held.Kept)
+	if held.Phase == storedPhase(e.Phase) && (held.Order.Revision == e.Order.Revision || held.Order.RewriteOf(&e.Order)) {
+		e.StoredEpoch = max(e.StoredEpoch, held.StoredEpoch)
 		c.merge(e, false)
 	}
 }
--- a/coordination/rollout/restored_test.go
+++ b/coordination/rollout/restored_test.go
@@ -21,8 +21,8 @@
 	f.store.held, f.store.revision = nil, 0
 	if held != nil {
 		copied := *held
-		copied.Kept = secondEpoch
-		f.store.held, f.store.revision = &copied, store.InLife(secondEpoch, 1)
+		copied.StoredEpoch = secondEpoch
+		f.store.held, f.store.revision = &copied, store.InEpoch(secondEpoch, 1)
 	}
 	for _, i := range nodes {
 		f.step(i, restore.Restored{Epoch: secondEpoch})
@@ -33,7 +33,7 @@
 // orderInEpoch delivers an order that has a revision of the given epoch to a node.
 func (f *fleet) orderInEpoch(at int, target string, copied bool, epoch, transaction uint64) {
 	f.step(at, Ordered{Order: rollout.Order{
-		Service: svc, Target: target, Revision: store.InLife(epoch, transaction), Duration: 20 * time.Second, Copied: copied,
+		Service: svc, Target: target, Revision: store.InEpoch(epoch, transaction), Duration: 20 * time.Second, Copied: copied,
 	}})
 	f.deliver()
 }
@@ -114,9 +114,9 @@
 func TestOutdatedRevisionIsNotUsedAgain(t *testing.T) {
 	c := New(Config{}, "n", 1, 1)
 	now := time.Unix(1_000_000, 0)
-	e := rollout.Entry{Order: rollout.Order{Service: svc, Target: "v2", Revision: store.InLife(1, 5), Duration: time.Minute}, Phase: rollout.Stopped}
+	e := rollout.Entry{Order: rollout.Order{Service: svc, Target: "v2", Revision: store.InEpoch(1, 5), Duration: time.Minute}, Phase: rollout.Stopped}
 	c.Step(now, Learned{Entries: []rollout.Entry{e}})
-	c.rollouts[svc].rowRevision = store.InLife(1, 6)
+	c.rollouts[svc].rowRevision = store.InEpoch(1, 6)
 	c.rollouts[svc].writing = true
 	c.Step(now, Recorded{Service: svc, Err: &noAnswer{}, Outdated: true})
 	must.Eq(t, 0, c.rollouts[svc].rowRevision)
--- a/internal/sidecar/backends.go
+++ b/internal/sidecar/backends.go
@@ -58,7 +58,7 @@
 		_ = b.log.Log("event", "backend_not_offered", "instance", h.Key(), "service", h.Service)
 		return
 	}
-	news := b.local.Hear(time.Now(), h)
+	news := b.local.RecordHeartbeat(time.Now(), h)
 	after := b.local.Current()
 	// Any word of the present start says that it is there.
 	present := after != nil && after.ID == h.ID && (h.Born == 0 || h.Born == after.Born)
--- a/protocol/message/document.go
+++ b/protocol/message/document.go
@@ -29,6 +29,6 @@
 	Incarnation uint64 `cbor:"2,keyasint"`
 	// Sequence rises with each beacon of an incarnation.
 	Sequence uint64 `cbor:"3,keyasint"`
-	// Life is the store's life that the reader was told; 0 is not told.
-	Life uint64 `cbor:"4,keyasint,omitempty"`
+	// Epoch is the store's epoch in the reader's last read; 0 if the store doesn't report it.
+	Epoch uint64 `cbor:"4,keyasint,omitempty"`
 }
--- a/protocol/message/freshness.go
+++ b/protocol/message/freshness.go
@@ -14,9 +14,9 @@
 	// Offset is how much later than the arrival of Echo the proof's moment was, by the
 	// sender's clock, in milliseconds; it is negative where the proof is older.
 	Offset int64 `cbor:"4,keyasint,omitempty"`
-	// Life is the highest life of the store that the sender knows; 0 for none. It rises when
-	// the store comes back as an older copy.
-	Life uint64 `cbor:"5,keyasint,omitempty"`
+	// Epoch is the highest epoch of the store that the sender has seen; 0 for none. It
+	// increases when the store is restored from an older copy.
+	Epoch uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // Kind implements Message.
--- a/protocol/message/fuzz_test.go
+++ b/protocol/message/fuzz_test.go
@@ -20,7 +20,7 @@
 		&Full{Count: 2, Body: []byte("body")},
 		&ZoneStatus{Zone: "csepel", Rejections: []Rejection{{Node: "a", Reason: "hash"}}},
 		&Suspects{Entries: []suspect.Entry{{Fingerprint: 7, Evidence: []suspect.Evidence{{Crash: suspect.Crash{ID: 9, At: 1}, Refuted: true}}}}},
-		&Freshness{Version: 7, Stamp: 1 << 40, Echo: 1 << 41, Offset: -1200, Life: 3},
+		&Freshness{Version: 7, Stamp: 1 << 40, Echo: 1 << 41, Offset: -1200, Epoch: 3},
 		&Demand{Items: []DemandItem{{Limit: "clinic/screens", PerSecond: 1.5}}},
 	} {
 		b, err := Encode(m)
--- a/state/instance/instance.go
+++ b/state/instance/instance.go
@@ -46,8 +46,8 @@
 type Instance struct {
 	Heartbeat
 	State State
-	// Heard is the time at which the last heartbeat arrived.
-	Heard time.Time
+	// LastHeartbeat is the time at which the last heartbeat arrived.
+	LastHeartbeat time.Time
 	// DrainSince is the time at which the node first learned that it drains; zero while
 	// it is ready.
 	DrainSince time.Time
@@ -59,7 +59,7 @@
 
 // newInstance returns the instance that sent a first heartbeat.
 func newInstance(now time.Time, h Heartbeat) *Instance {
-	i := &Instance{Heartbeat: h, Heard: now, WarmAt: now.Add(h.Cold), key: h.Start.Key()}
+	i := &Instance{Heartbeat: h, LastHeartbeat: now, WarmAt: now.Add(h.Cold), key: h.Start.Key()}
 	if h.Draining {
 		i.drain(now)
 	}
--- a/state/instance/local.go
+++ b/state/instance/local.go
@@ -38,10 +38,10 @@
 // the returned instance.
 func (l *Local) Current() *Instance { return l.current }
 
-// Hear records a heartbeat and reports whether it changed anything that other nodes
+// RecordHeartbeat records a heartbeat and reports whether it changed anything that other nodes
 // need. An outdated heartbeat is ignored, except that it may mark a replaced instance as
 // draining.
-func (l *Local) Hear(now time.Time, h Heartbeat) bool {
+func (l *Local) RecordHeartbeat(now time.Time, h Heartbeat) bool {
 	c := l.current
 	switch {
 	case l.isGone(now, h.Start):
@@ -142,7 +142,7 @@
 // Expire removes the current instance if it has sent no heartbeat for ttl, without
 // recording it as gone. It reports whether it removed one.
 func (l *Local) Expire(now time.Time, ttl time.Duration) bool {
-	if l.current == nil || now.Sub(l.current.Heard) < ttl {
+	if l.current == nil || now.Sub(l.current.LastHeartbeat) < ttl {
 		return false
 	}
 	l.current = nil
--- a/state/instance/property_test.go
+++ b/state/instance/property_test.go
@@ -31,7 +31,7 @@
 				l.Forget(now, s)
 				left[born] = true
 			default:
-				l.Hear(now, of(born, uint64(rapid.IntRange(1, 9).Draw(t, "sequence")), rapid.Bool().Draw(t, "draining")))
+				l.RecordHeartbeat(now, of(born, uint64(rapid.IntRange(1, 9).Draw(t, "sequence")), rapid.Bool().Draw(t, "draining")))
 				newest = max(newest, born)
 			}
 			c := l.Current()
--- a/state/instance/start_test.go
+++ b/state/instance/start_test.go
@@ -26,7 +26,7 @@
 func TestRestartedBackendServerIsANewInstance(t *testing.T) {
 	for name, end := range map[string]func(*Local){
 		"it crashed":       func(*Local) {},
-		"it drained":       func(l *Local) { l.Hear(begin, of(100, 8, true)) },
+		"it drained":       func(l *Local) { l.RecordHeartbeat(begin, of(100, 8, true)) },
 		"it said goodbye":  func(l *Local) { l.Leave(begin, Start{"a", 100}) },
 		"it was forgotten": func(l *Local) { l.Forget(begin, Start{"a", 100}) },
 		"it expired":       func(l *Local) { l.Expire(begin.Add(time.Minute), time.Second) },
@@ -37,23 +37,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var l Local
-			l.Hear(begin, of(100, 7, false))
+			l.RecordHeartbeat(begin, of(100, 7, false))
 			end(&l)
-			must.True(t, l.Hear(begin, of(200, 1, false)))
+			must.True(t, l.RecordHeartbeat(begin, of(200, 1, false)))
 			must.Eq(t, Ready, l.Current().State)
 			must.Eq(t, 200, l.Current().Born)
 			later := begin.Add(time.Minute)
-			must.False(t, l.Hear(later, of(200, 2, false)))
-			must.Eq(t, later, l.Current().Heard)
+			must.False(t, l.RecordHeartbeat(later, of(200, 2, false)))
+			must.Eq(t, later, l.Current().LastHeartbeat)
 		})
 	}
 }
 
 func TestLateMessageOfAFormerInstanceChangesNothing(t *testing.T) {
 	var l Local
-	l.Hear(begin, of(100, 7, false))
-	l.Hear(begin, of(200, 1, false))
-	must.False(t, l.Hear(begin, of(100, 8, true)))
+	l.RecordHeartbeat(begin, of(100, 7, false))
+	l.RecordHeartbeat(begin, of(200, 1, false))
+	must.False(t, l.RecordHeartbeat(begin, of(100, 8, true)))
 	must.False(t, l.Leave(begin, Start{"a", 100}))
 	must.False(t, l.Forget(begin, Start{"a", 100}))
 	must.Eq(t, Ready, l.Current().State)
@@ -66,28 +66,28 @@
 // least the time lateMessageWindow.
 func TestInstanceStartedAfterClockWasSetBackIsAccepted(t *testing.T) {
 	var l Local
-	l.Hear(begin, of(200, 7, false))
-	must.False(t, l.Hear(begin.Add(time.Second), of(100, 1, false)))
+	l.RecordHeartbeat(begin, of(200, 7, false))
+	must.False(t, l.RecordHeartbeat(begin.Add(time.Second), of(100, 1, false)))
 	must.True(t, l.Expire(begin.Add(7*time.Second), 6500*time.Millisecond))
-	must.True(t, l.Hear(begin.Add(8*time.Second), of(100, 5, false)))
+	must.True(t, l.RecordHeartbeat(begin.Add(8*time.Second), of(100, 5, false)))
 
 	l = Local{}
-	l.Hear(begin, of(200, 7, false))
+	l.RecordHeartbeat(begin, of(200, 7, false))
 	l.Forget(begin, Start{"a", 200})
-	must.False(t, l.Hear(begin.Add(lateMessageWindow/2), of(100, 1, false)))
-	must.True(t, l.Hear(begin.Add(lateMessageWindow), of(100, 9, false)))
-	must.False(t, l.Hear(begin.Add(lateMessageWindow), of(200, 8, false)), must.Sprint("the instance that has left must not return"))
+	must.False(t, l.RecordHeartbeat(begin.Add(lateMessageWindow/2), of(100, 1, false)))
+	must.True(t, l.RecordHeartbeat(begin.Add(lateMessageWindow), of(100, 9, false)))
+	must.False(t, l.RecordHeartbeat(begin.Add(lateMessageWindow), of(200, 8, false)), must.Sprint("the instance that has left must not return"))
 }
 
 // A message without a start time is attributed to the current instance if that has its
 // identifier.
 func TestMessageWithoutStartTimeIsFromTheCurrentInstance(t *testing.T) {
 	var l Local
-	l.Hear(begin, of(100, 1, false))
-	must.False(t, l.Hear(begin, of(0, 2, false)))
+	l.RecordHeartbeat(begin, of(100, 1, false))
+	must.False(t, l.RecordHeartbeat(begin, of(0, 2, false)))
 	must.Eq(t, Start{"a", 100}.Key(), l.Current().Key())
 	must.True(t, l.Leave(begin, Start{ID: "a"}))
 	l.Forget(begin, Start{ID: "a"})
-	must.False(t, l.Hear(begin, of(0, 3, false)))
-	must.False(t, l.Hear(begin, of(300, 1, false)), must.Sprint("either instance may be the one that left"))
+	must.False(t, l.RecordHeartbeat(begin, of(0, 3, false)))
+	must.False(t, l.RecordHeartbeat(begin, of(300, 1, false)), must.Sprint("either instance may be the one that left"))
 }
--- a/state/rollout/order.go
+++ b/state/rollout/order.go
@@ -6,10 +6,10 @@
 	"github.com/jacinthgate/jacinthgate/state/store"
 )
 
-// Again reports whether two orders are the same one, which the operators have rewritten
-// after the store was restored from an older copy. Its phase and verdict then stay valid.
-func (o *Order) Again(other *Order) bool {
-	return store.Life(o.Revision) != store.Life(other.Revision) && o.sameContent(other)
+// RewriteOf reports whether two orders are the same one, rewritten by the operators after
+// the store was restored from an older copy. Its phase and verdict then stay valid.
+func (o *Order) RewriteOf(other *Order) bool {
+	return store.Epoch(o.Revision) != store.Epoch(other.Revision) && o.sameContent(other)
 }
 
 // sameContent reports whether two orders have the same service, target and duration.
@@ -24,7 +24,7 @@
 
 // same reports whether an entry is of the order of h, possibly under another revision.
 func (h *held) same(now time.Time, e *Entry) bool {
-	if e.Order.Revision == h.Order.Revision || e.Order.Again(&h.Order) {
+	if e.Order.Revision == h.Order.Revision || e.Order.RewriteOf(&h.Order) {
 		return true
 	}
 	return !h.otherEpochAt.IsZero() && now.Sub(h.otherEpochAt) < rewriteWindow && e.Order.sameContent(&h.Order)
@@ -36,7 +36,7 @@
 	if other.Revision > o.Revision {
 		later = other
 	}
-	if later.Copied && store.Life(o.Revision) != store.Life(other.Revision) {
+	if later.Copied && store.Epoch(o.Revision) != store.Epoch(other.Revision) {
 		// Transactions in the older copy were already made in the former epoch, so their
 		// numbers can be compared.
 		return store.Transaction(o.Revision) > store.Transaction(other.Revision)
--- a/state/rollout/order_test.go
+++ b/state/rollout/order_test.go
@@ -11,7 +11,7 @@
 
 // in returns an entry whose order was written by a transaction of an epoch.
 func in(epoch, transaction uint64, target string, phase Phase) Entry {
-	return entry(store.InLife(epoch, transaction), target, phase)
+	return entry(store.InEpoch(epoch, transaction), target, phase)
 }
 
 // copied returns e marked as read in an epoch that may be later than that of its write.
@@ -30,13 +30,13 @@
 		target string
 		phase  Phase
 	}{
-		"written again":                               {in(2, 7, "v3", Pending), "v3", Reverted},
-		"written again, under a higher revision":      {in(2, 12, "v3", Pending), "v3", Reverted},
-		"in the copy":                                 {copied(in(2, 9, "v3", Pending)), "v3", Reverted},
-		"a former order in the copy":                  {copied(in(2, 5, "v2", Pending)), "v3", Reverted},
-		"another order of the feed":                   {in(2, 7, "v4", Pending), "v4", Pending},
-		"another order, read whole":                   {copied(in(2, 10, "v4", Pending)), "v4", Pending},
-		"the same one again in the same epoch":        {in(1, 10, "v3", Pending), "v3", Pending},
+		"written again":                                {in(2, 7, "v3", Pending), "v3", Reverted},
+		"written again, under a higher revision":       {in(2, 12, "v3", Pending), "v3", Reverted},
+		"in the copy":                                  {copied(in(2, 9, "v3", Pending)), "v3", Reverted},
+		"a former order in the copy":                   {copied(in(2, 5, "v2", Pending)), "v3", Reverted},
+		"another order of the feed":                    {in(2, 7, "v4", Pending), "v4", Pending},
+		"another order, read whole":                    {copied(in(2, 10, "v4", Pending)), "v4", Pending},
+		"the same one again in the same epoch":         {in(1, 10, "v3", Pending), "v3", Pending},
 		"a former order of an epoch that isn't copied": {in(1, 5, "v2", Pending), "v3", Reverted},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -63,7 +63,7 @@
 		table.Merge(begin.Add(after), in(2, 20, "v3", Pending))
 		e, _ := table.Get(begin.Add(after), "s")
 		must.Eq(t, want, e.Phase)
-		must.Eq(t, store.InLife(2, 20), e.Order.Revision)
+		must.Eq(t, store.InEpoch(2, 20), e.Order.Revision)
 	}
 }
 
@@ -71,7 +71,7 @@
 func TestKeptEpochBelongsToThePhase(t *testing.T) {
 	kept := func(epoch uint64, phase Phase) Entry {
 		e := in(1, 9, "v3", phase)
-		e.Kept = epoch
+		e.StoredEpoch = epoch
 		return e
 	}
 	table := NewTable()
@@ -80,5 +80,5 @@
 	must.True(t, table.Merge(begin.Add(time.Second), kept(2, Reverted)))
 	must.False(t, table.Merge(begin, kept(1, Reverted)))
 	e, _ := table.Get(begin, "s")
-	must.Eq(t, 2, e.Kept)
+	must.Eq(t, 2, e.StoredEpoch)
 }
--- a/state/rollout/rollout.go
+++ b/state/rollout/rollout.go
@@ -23,7 +23,7 @@
 	Service string `cbor:"1,keyasint"`
 	// Target is the version to which it is moved.
 	Target string `cbor:"2,keyasint"`
-	// Revision is the order's revision in the store, by store.InLife.
+	// Revision is the order's revision in the store, by store.InEpoch.
 	Revision uint64 `cbor:"3,keyasint"`
 	// Duration is the time limit of the roll-out, counted from the order.
 	Duration time.Duration `cbor:"4,keyasint"`
@@ -82,9 +82,9 @@
 	// before they had succeeded. They get no requests, even while their backend servers
 	// still run.
 	Rejected []string `cbor:"5,keyasint,omitempty"`
-	// Kept is the newest epoch of the store in which it was seen to hold the phase; 0 if
-	// none.
-	Kept uint64 `cbor:"6,keyasint,omitempty"`
+	// StoredEpoch is the newest epoch of the store in which the store was seen to hold the
+	// phase; 0 if none.
+	StoredEpoch uint64 `cbor:"6,keyasint,omitempty"`
 }
 
 // maxRejected limits the number of rejected versions of an entry. A few suffice: their
@@ -123,10 +123,10 @@
 	return h.at(now), true
 }
 
-// Doubted returns the target versions of replaced orders whose outcome this node hasn't
+// Unresolved returns the target versions of replaced orders whose outcome this node hasn't
 // received. It returns none once the present order is no longer Pending, since the store
 // has settled them by then.
-func (t *Table) Doubted(service string) []string {
+func (t *Table) Unresolved(service string) []string {
 	h := t.entries[service]
 	if h == nil || h.Phase != Pending {
 		return nil
@@ -190,7 +190,7 @@
 // by then never will, so it is rejected.
 func (t *Table) Replaced(e Entry) bool {
 	h := t.entries[e.Order.Service]
-	if h == nil || e.Order.Again(&h.Order) || !h.Order.After(&e.Order) {
+	if h == nil || e.Order.RewriteOf(&h.Order) || !h.Order.After(&e.Order) {
 		return false
 	}
 	changed := h.reject(e.Rejected...)
@@ -203,7 +203,7 @@
 // merge adds another entry of the same order and reports whether h changed.
 func (h *held) merge(now time.Time, e *Entry) bool {
 	changed := h.reject(e.Rejected...)
-	if e.Order.Again(&h.Order) {
+	if e.Order.RewriteOf(&h.Order) {
 		h.otherEpochAt = now
 	}
 	changed = h.Order.adoptRevision(&e.Order) || changed
@@ -211,11 +211,11 @@
 		h.since = since
 	}
 	if e.Phase > h.Phase {
-		h.Phase, h.Reason, h.Kept = e.Phase, e.Reason, e.Kept
+		h.Phase, h.Reason, h.StoredEpoch = e.Phase, e.Reason, e.StoredEpoch
 		return true
 	}
-	if e.Phase == h.Phase && e.Kept > h.Kept {
-		h.Kept = e.Kept
+	if e.Phase == h.Phase && e.StoredEpoch > h.StoredEpoch {
+		h.StoredEpoch = e.StoredEpoch
 		changed = true
 	}
 	return changed
@@ -262,7 +262,7 @@
 func (t *Table) Digest() uint64 {
 	var sum uint64
 	for service, h := range t.entries {
-		sum += xxhash.Sum64String(fmt.Sprintf("%q %d %d %q", service, h.Order.Revision, h.Phase, h.Rejected)) + h.Kept
+		sum += xxhash.Sum64String(fmt.Sprintf("%q %d %d %q", service, h.Order.Revision, h.Phase, h.Rejected)) + h.StoredEpoch
 	}
 	return sum
 }
--- a/state/store/life.go
+++ b/state/store/life.go
@@ -10,20 +10,20 @@
 // within the epoch: at a thousand transactions a second they last for 8,900 years.
 const epochShift = 48
 
-// MaxLife is the largest epoch that a revision can hold.
-const MaxLife = 1<<(64-epochShift) - 1
+// MaxEpoch is the largest epoch that a revision can hold.
+const MaxEpoch = 1<<(64-epochShift) - 1
 
-// InLife returns the revision of a transaction in an epoch of the store. It returns 0,
+// InEpoch returns the revision of a transaction in an epoch of the store. It returns 0,
 // which stands for no revision, for transaction 0 of any epoch.
-func InLife(epoch, transaction uint64) uint64 {
+func InEpoch(epoch, transaction uint64) uint64 {
 	if transaction == 0 {
 		return 0
 	}
 	return epoch<<epochShift | transaction
 }
 
-// Life returns the epoch of the store in which a revision was assigned.
-func Life(revision uint64) uint64 { return revision >> epochShift }
+// Epoch returns the epoch of the store in which a revision was assigned.
+func Epoch(revision uint64) uint64 { return revision >> epochShift }
 
 // Transaction returns a revision's transaction number within its epoch.
 func Transaction(revision uint64) uint64 { return revision & (1<<epochShift - 1) }
--- a/state/suspect/table.go
+++ b/state/suspect/table.go
@@ -52,8 +52,9 @@
 // Quarantined reports whether enough crashes count against the request.
 func (e *Entry) Quarantined() bool { return e.counted() >= Threshold }
 
-// Near reports whether the request is quarantined or would be after one more crash.
-func (e *Entry) Near() bool { return e.counted() >= Threshold-1 }
+// NearThreshold reports whether the request is quarantined or would be after one more
+// crash.
+func (e *Entry) NearThreshold() bool { return e.counted() >= Threshold-1 }
 
 // counted returns the number of crashes that count against the request: those not refuted.
 func (e *Entry) counted() int {
--- a/transport/inbound/repeat_test.go
+++ b/transport/inbound/repeat_test.go
@@ -41,7 +41,7 @@
 	backend := httptest.NewServer(h)
 	t.Cleanup(backend.Close)
 	var local instance.Local
-	local.Hear(time.Now(), instance.Heartbeat{
+	local.RecordHeartbeat(time.Now(), instance.Heartbeat{
 		Start: instance.Start{ID: "i"}, Addr: backend.Listener.Addr().String(), Service: "s", Slots: 2, Sequence: 1,
 	})
 	i := local.Current()
