--- a/state/endpoint/status.go
+++ b/state/endpoint/status.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// String returns the status's name, for logs and operators.
+// String returns the name of the status for logs and operators' tools.
 func (s Status) String() string {
 	switch s {
 	case StatusAlive:
--- a/state/endpoint/table.go
+++ b/state/endpoint/table.go
@@ -10,22 +10,23 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Table holds the newest record of each node, tombstones included. It keeps
-// the digests of each zone and the index of the serving records up to date
-// with every change. It is not safe for concurrent use: one goroutine owns it
-// and publishes a View for the path of a request.
+// Table holds the newest record of each node, including tombstones. It updates
+// the digest of each zone and the index of the serving records with every
+// change. It is not safe for concurrent use: one goroutine owns it and
+// publishes a View for the routing of requests.
 type Table struct {
 	records map[model.NodeID]*entry
 	zones   map[model.Zone]*zoneSums
-	// serving holds the serving records of each service, in order of zone,
-	// then node.
+	// serving holds the serving records of each service, sorted by zone, then
+	// node.
 	serving map[string][]*entry
-	// changed names the services whose part of the view is out of date.
+	// changed is the set of services whose records have changed since view was
+	// built.
 	changed map[string]struct{}
 	view    *View
 }
 
-// entry is a record with its hashes.
+// entry is a record with the hash of its content and the key of its node.
 type entry struct {
 	Record
 	hash uint64
@@ -43,8 +44,8 @@
 	}
 }
 
-// Put stores r if it supersedes the held record of its node, and reports
-// whether it did.
+// Put stores r if the table has no record of its node or r supersedes it, and
+// reports whether it stored r.
 func (t *Table) Put(r Record) bool {
 	e := t.records[r.Node]
 	if e != nil && !r.Supersedes(e.Record) {
@@ -54,7 +55,7 @@
 		e = &entry{key: r.Node.Key()}
 		t.records[r.Node] = e
 	} else {
-		r.Node = e.Node // keep one copy of the name
+		r.Node = e.Node // share the stored copy of the string
 		t.unlink(e)
 	}
 	e.Record = interned(r)
@@ -63,7 +64,8 @@
 	return true
 }
 
-// interned returns r with its repeated names shared with other records.
+// interned returns r with interned zone, region and service names, so that
+// records share the memory of equal names.
 func interned(r Record) Record {
 	r.Zone = unique.Make(r.Zone).Value()
 	r.Region = unique.Make(r.Region).Value()
@@ -71,7 +73,7 @@
 	return r
 }
 
-// link enters e into the digests and the index of serving records.
+// link adds e to the digests and the index of serving records.
 func (t *Table) link(e *entry) {
 	if e.Live() {
 		z := t.zones[e.Zone]
@@ -83,13 +85,13 @@
 	}
 	if e.Serving() {
 		list := t.serving[e.Service]
-		i, _ := slices.BinarySearchFunc(list, e, compareEntries)
+		i, _ := slices.BinarySearchFunc(list, e, compareByZone)
 		t.serving[e.Service] = slices.Insert(list, i, e)
 		t.changed[e.Service] = struct{}{}
 	}
 }
 
-// unlink undoes link.
+// unlink removes e from the digests and the index of serving records.
 func (t *Table) unlink(e *entry) {
 	if e.Live() {
 		z := t.zones[e.Zone]
@@ -102,7 +104,7 @@
 		return
 	}
 	list := t.serving[e.Service]
-	i, _ := slices.BinarySearchFunc(list, e, compareEntries)
+	i, _ := slices.BinarySearchFunc(list, e, compareByZone)
 	list = slices.Delete(list, i, i+1)
 	t.changed[e.Service] = struct{}{}
 	if len(list) == 0 {
@@ -112,15 +114,15 @@
 	t.serving[e.Service] = list
 }
 
-// compareEntries orders by zone, then node.
-func compareEntries(a, b *entry) int {
+// compareByZone orders entries by zone, then node.
+func compareByZone(a, b *entry) int {
 	if c := cmp.Compare(a.Zone, b.Zone); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.Node, b.Node)
 }
 
-// Get returns the record of a node.
+// Get returns the record of a node and whether there is one.
 func (t *Table) Get(id model.NodeID) (Record, bool) {
 	e, ok := t.records[id]
 	if !ok {
@@ -129,7 +131,7 @@
 	return e.Record, true
 }
 
-// Delete forgets a node's record.
+// Delete removes a node's record.
 func (t *Table) Delete(id model.NodeID) {
 	e := t.records[id]
 	if e == nil {
@@ -139,11 +141,11 @@
 	delete(t.records, id)
 }
 
-// Len returns the number of records, dead ones included.
+// Len returns the number of records, including tombstones.
 func (t *Table) Len() int { return len(t.records) }
 
-// Each calls f for every record in no particular order until f returns false.
-// f must neither change nor keep the record.
+// Each calls f for every record, in no particular order, until f returns false.
+// f must neither modify nor retain the record.
 func (t *Table) Each(f func(*Record, model.NodeKey) bool) {
 	for _, e := range t.records {
 		if !f(&e.Record, e.key) {
@@ -153,7 +155,7 @@
 }
 
 // EachLive calls f for every live record of a zone, in order of key, until f
-// returns false. f must neither change nor keep the record.
+// returns false. f must neither modify nor retain the record.
 func (t *Table) EachLive(zone model.Zone, f func(*Record, model.NodeKey) bool) {
 	z := t.zones[zone]
 	if z == nil {
@@ -166,7 +168,7 @@
 	}
 }
 
-// All returns all records in order of node.
+// All returns all records, sorted by node.
 func (t *Table) All() []Record {
 	all := make([]Record, 0, len(t.records))
 	for _, id := range slices.Sorted(maps.Keys(t.records)) {
@@ -175,9 +177,9 @@
 	return all
 }
 
-// Differing returns the records, tombstones included, of a zone's buckets
-// whose hash differs from the given one, in order of node. Without hashes it
-// returns all records of the zone.
+// Differing returns the records, including tombstones, of those buckets of a
+// zone whose hash differs from the given one, sorted by node. If no hashes are
+// given, it returns all records of the zone.
 func (t *Table) Differing(zone model.Zone, hashes []uint64) []Record {
 	var differs [Buckets]bool
 	own := t.zones[zone]
@@ -197,7 +199,7 @@
 	return found
 }
 
-// Expire forgets the tombstones of nodes that died longer than ttl ago.
+// Expire removes the tombstones of nodes that failed or left at least ttl ago.
 func (t *Table) Expire(now time.Time, ttl time.Duration) {
 	oldest := now.Add(-ttl).Unix()
 	for id, e := range t.records {
--- a/state/endpoint/table_test.go
+++ b/state/endpoint/table_test.go
@@ -18,8 +18,9 @@
 	}
 }
 
-// TestTableMatchesRebuilt applies random changes and compares digests, view
-// and live members with those of a table built from the result alone.
+// TestTableMatchesRebuilt applies random changes to a table and compares its
+// digests and view, which are updated incrementally, with those of a table
+// built anew from the resulting records.
 func TestTableMatchesRebuilt(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table := NewTable()
@@ -38,13 +39,13 @@
 				table.Delete(r.Node)
 			}
 		}
-		fresh := NewTable()
+		rebuilt := NewTable()
 		for _, r := range table.All() {
-			fresh.Put(r)
+			rebuilt.Put(r)
 		}
-		must.Eq(rt, fresh.Digest(), table.Digest())
-		must.Eq(rt, fresh.BucketHashes("a"), table.BucketHashes("a"))
-		must.Eq(rt, fresh.View().services, table.View().services)
+		must.Eq(rt, rebuilt.Digest(), table.Digest())
+		must.Eq(rt, rebuilt.BucketHashes("a"), table.BucketHashes("a"))
+		must.Eq(rt, rebuilt.View().services, table.View().services)
 		must.SliceEmpty(rt, table.Differing("a", append(table.BucketHashes("a"), make([]uint64, Buckets)...)[:Buckets]))
 	})
 }
@@ -63,7 +64,7 @@
 	table.Put(r)
 	must.True(t, table.Changed())
 	must.Len(t, 1, table.View().ServiceInZone("s", "b"))
-	must.Len(t, 2, v.ServiceInZone("s", "b"), must.Sprint("the former view stays"))
+	must.Len(t, 2, v.ServiceInZone("s", "b"), must.Sprint("the previous view must not change"))
 }
 
 func TestExpireForgetsOnlyOldTombstones(t *testing.T) {
--- a/state/endpoint/validate.go
+++ b/state/endpoint/validate.go
@@ -7,25 +7,27 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Bounds on a record's numbers. A record beyond them is refused.
+// Limits on the numeric fields of a record. Validate rejects a record that exceeds
+// any of them.
 const (
-	// MaxSlots is the largest number of slots of one backend server.
+	// MaxSlots is the maximum number of slots of one backend server.
 	MaxSlots = 1 << 16
-	// MaxConnections is the largest number of connections of one backend
+	// MaxConnections is the maximum number of connections of one backend
 	// server.
 	MaxConnections = 1 << 20
-	// MaxCounter bounds incarnations and sequences, so that no record can
-	// push its owner's counter to the end of its range.
+	// MaxCounter is the maximum incarnation and sequence. It prevents a received
+	// record from advancing its owner's counter to the end of the counter's
+	// range.
 	MaxCounter = 1 << 62
 )
 
-// InvalidRecordError reports a record that breaks a bound.
+// InvalidRecordError reports a record with an invalid field.
 type InvalidRecordError struct {
-	// Node is the record's owner as it was given.
+	// Node is the owner as given in the record.
 	Node model.NodeID
-	// Field names the field that breaks the bound.
+	// Field is the name of the invalid field.
 	Field string
-	// Reason says what was expected.
+	// Reason describes the fault.
 	Reason string
 }
 
@@ -34,8 +36,8 @@
 	return fmt.Sprintf("record of node %.80q: %s: %s", string(e.Node), e.Field, e.Reason)
 }
 
-// Validate checks a record that came from elsewhere. It returns an
-// *InvalidRecordError for the first field that breaks a bound.
+// Validate checks a record received from another node. It returns an
+// *InvalidRecordError for the first invalid field.
 func Validate(r *Record) error {
 	if field := invalidName(r); field != "" {
 		return &InvalidRecordError{Node: r.Node, Field: field, Reason: "empty or too long"}
@@ -49,11 +51,11 @@
 	return nil
 }
 
-// maxInstance bounds the key of an instance, in bytes: an identifier and the time of a
-// start.
+// maxInstance is the maximum length of Record.Instance in bytes; an instance is an
+// identifier and the time of a start.
 const maxInstance = model.MaxNameLength + 16
 
-// invalidName returns the first field whose text is missing or too long.
+// invalidName returns the first text field that is missing or too long, or "".
 func invalidName(r *Record) string {
 	switch {
 	case r.Node == "" || len(r.Node) > model.MaxNameLength:
@@ -72,8 +74,8 @@
 	return ""
 }
 
-// invalidAddr returns the first field that is no IP:port. The gate's address
-// may be missing while no service is offered.
+// invalidAddr returns the first address field that is not a valid IP:port, or "".
+// The gate's address may be missing while no service is offered.
 func invalidAddr(r *Record) string {
 	if !validAddr(r.PeerAddr) {
 		return "peerAddr"
@@ -92,7 +94,7 @@
 	return err == nil && a.Port() != 0 && a.Addr().Zone() == ""
 }
 
-// invalidNumber returns the first field whose number is out of range.
+// invalidNumber returns the first numeric field that is out of range, or "".
 func invalidNumber(r *Record) string {
 	switch {
 	case r.Incarnation > MaxCounter:
--- a/state/endpoint/view.go
+++ b/state/endpoint/view.go
@@ -8,18 +8,19 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// View is an immutable index of the records that may serve, by service and
-// zone. The path of a request reads it through an atomic pointer.
+// View is an immutable index of the serving records by service and zone. The
+// routing of requests reads it through an atomic pointer.
 type View struct {
 	services map[string][]Record
 }
 
-// Changed reports whether View would return a newer view than it did last.
+// Changed reports whether the serving records have changed since the last call
+// of View.
 func (t *Table) Changed() bool { return len(t.changed) > 0 }
 
-// View returns the index of the records that are Serving. Only services that
-// changed since the last call are built anew; the others share their records
-// with the former view.
+// View returns the index of the records that are Serving. It rebuilds only the
+// services that have changed since the last call; the others share their
+// records with the previous view.
 func (t *Table) View() *View {
 	if !t.Changed() {
 		return t.view
@@ -47,15 +48,15 @@
 	v.services[name] = recs
 }
 
-// Service returns the serving records of a service in order of zone, then
-// node. The result must not be changed.
+// Service returns the serving records of a service, sorted by zone, then node.
+// The result must not be modified.
 func (v *View) Service(name string) []Record { return v.services[name] }
 
-// ServiceInZone returns the serving records of a service in one zone, in order
-// of node. The result must not be changed.
+// ServiceInZone returns the serving records of a service in one zone, sorted by
+// node. The result must not be modified.
 func (v *View) ServiceInZone(name string, zone model.Zone) []Record {
 	all := v.services[name]
-	from, _ := slices.BinarySearchFunc(all, zone, compareZone)
+	from, _ := slices.BinarySearchFunc(all, zone, compareToZone)
 	to := from
 	for to < len(all) && all[to].Zone == zone {
 		to++
@@ -63,8 +64,8 @@
 	return all[from:to:to]
 }
 
-// WithoutZones returns the view without the records of the given zones. It shares the records of
-// services that have none there.
+// WithoutZones returns the view without the records of the given zones. Services
+// that have no record in these zones share their records with v.
 func (v *View) WithoutZones(zones []model.Zone) *View {
 	if len(zones) == 0 {
 		return v
@@ -84,7 +85,7 @@
 	return filtered
 }
 
-func compareZone(r Record, z model.Zone) int { return cmp.Compare(r.Zone, z) }
+func compareToZone(r Record, z model.Zone) int { return cmp.Compare(r.Zone, z) }
 
 // Services returns the names of the services with a serving record, sorted.
 func (v *View) Services() []string { return slices.Sorted(maps.Keys(v.services)) }
--- a/state/evacuation/evacuation.go
+++ b/state/evacuation/evacuation.go
@@ -1,5 +1,5 @@
-// Package evacuation holds the operators' orders to evacuate availability zones. The backend
-// servers of an evacuated zone get no requests until the order is cancelled.
+// Package evacuation holds the operators' orders to evacuate availability zones. No requests
+// are sent to the backend servers of an evacuated zone until the order is cancelled.
 package evacuation
 
 import (
@@ -9,17 +9,19 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Order evacuates a zone or cancels its evacuation.
+// Order is an operator's order to evacuate an availability zone or to cancel its evacuation.
 type Order struct {
 	// Zone is the availability zone.
 	Zone model.Zone `cbor:"1,keyasint"`
-	// Revision is the store's revision of the write; a higher one replaces a lower one.
+	// Revision is the revision that the store assigned to the write of the order. An order with
+	// a higher revision replaces one with a lower revision.
 	Revision uint64 `cbor:"2,keyasint"`
-	// Active says that the zone is evacuated; false cancels the evacuation.
+	// Active is true to evacuate the zone and false to cancel the evacuation.
 	Active bool `cbor:"3,keyasint,omitempty"`
 }
 
-// maxZones bounds the memory that orders from other nodes can take.
+// maxZones is the maximum number of zones in a Table. It limits the memory for orders received
+// from other nodes.
 const maxZones = 256
 
 // Valid reports whether an order is well-formed.
@@ -33,17 +35,18 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{orders: make(map[model.Zone]Order)} }
 
-// Merge takes over a valid order that is newer than the held one, and reports whether it did.
+// Merge stores an order if it is valid and newer than the stored order of its zone, and reports
+// whether it did. It rejects the first order of a zone if the table is full.
 func (t *Table) Merge(o Order) bool {
-	before, held := t.orders[o.Zone]
-	if !o.Valid() || held && o.Revision <= before.Revision || !held && len(t.orders) >= maxZones {
+	current, held := t.orders[o.Zone]
+	if !o.Valid() || held && o.Revision <= current.Revision || !held && len(t.orders) >= maxZones {
 		return false
 	}
 	t.orders[o.Zone] = o
 	return true
 }
 
-// Get returns the newest order of a zone.
+// Get returns the newest order of a zone and whether there is one.
 func (t *Table) Get(zone model.Zone) (Order, bool) {
 	o, ok := t.orders[zone]
 	return o, ok
@@ -62,7 +65,7 @@
 	return all
 }
 
-// Zones returns the zones that are evacuated, sorted.
+// Zones returns the names of the evacuated zones, sorted.
 func (t *Table) Zones() []model.Zone {
 	var zones []model.Zone
 	for _, o := range t.All() {
--- a/state/route/organisation.go
+++ b/state/route/organisation.go
@@ -8,35 +8,39 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Organisation is a firm whose callers show a key with their requests.
+// Organisation is a customer. Its callers authenticate their requests with one of its keys.
 type Organisation struct {
-	// Name identifies the organisation towards backend servers, in logs and in
-	// metrics. It is passed on in a header, so that it holds no control character.
+	// Name identifies the organisation to backend servers, in logs and in metrics. It
+	// is sent to backend servers in a header and therefore must not contain control
+	// characters.
 	Name string
-	// Keys are the keys that its callers may show. They are secret: no log line and
-	// no error holds one.
+	// Keys are the API keys that the organisation's callers may send. They are secret
+	// and must not appear in logs or errors.
 	Keys []string
-	// Priority ranks the organisation's requests in place of their routes' where it
-	// is given; 0 is the most important.
+	// Priority, if set, overrides the priority of the routes for the organisation's
+	// requests; 0 is the most important.
 	Priority *int
-	// Quota bounds the organisation's requests over the whole fleet; nil is no bound.
+	// Quota limits the rate of the organisation's requests across the whole fleet; nil
+	// means no limit.
 	Quota *model.Rate
-	// Regions are the regions in which its requests may be served; empty allows all.
+	// Regions are the regions in which the organisation's requests may be served;
+	// empty allows all.
 	Regions []model.Region
 }
 
-// Keyed reports whether callers have to show a key on routes that aren't anonymous.
+// Keyed reports whether callers must send a key on routes that aren't anonymous.
 func (t *Table) Keyed() bool { return t.keyed }
 
-// Organisation returns the organisation that holds a key; nil where none does.
+// Organisation returns the organisation that owns the key, or nil if none does.
 func (t *Table) Organisation(key string) *Organisation { return t.keys[key] }
 
-// Organisations returns all organisations, by name. The map must not be changed.
+// Organisations returns all organisations, keyed by name. The map must not be modified.
 func (t *Table) Organisations() map[string]*Organisation { return t.organisations }
 
-// Weight returns the weight by which an organisation shares what is short: its quota, in
-// requests per second. One without a quota weighs as much as the largest that has one, and
-// all weigh the same where none has.
+// Weight returns the weight of an organisation when scarce capacity is divided among
+// organisations: its quota in requests per second. An organisation without a quota gets
+// the largest quota of any organisation as its weight. If no organisation has a quota, all
+// weights are equal.
 func (t *Table) Weight(organisation string) float64 {
 	if o := t.organisations[organisation]; o != nil && o.Quota != nil {
 		return o.Quota.PerSecond
@@ -44,13 +48,13 @@
 	return max(1, t.largestQuota)
 }
 
-// addOrganisation indexes an organisation by its name and its keys.
+// addOrganisation validates an organisation and indexes it by its name and its keys.
 func (t *Table) addOrganisation(o *Organisation) error {
 	switch {
 	case o.Name == "":
 		return &OrganisationError{Reason: "the name is missing"}
 	case strings.ContainsFunc(o.Name, unicode.IsControl):
-		return &OrganisationError{Organisation: strconv.Quote(o.Name), Reason: "the name holds a control character"}
+		return &OrganisationError{Organisation: strconv.Quote(o.Name), Reason: "the name contains a control character"}
 	case t.organisations[o.Name] != nil:
 		return &OrganisationError{Organisation: o.Name, Reason: "another organisation has this name"}
 	case o.Quota != nil && (o.Quota.PerSecond <= 0 || o.Quota.Burst < 1):
@@ -64,19 +68,20 @@
 		if key == "" {
 			return &OrganisationError{Organisation: o.Name, Reason: "a key is empty"}
 		}
-		if holder := t.keys[key]; holder != nil && holder != o {
-			return &OrganisationError{Organisation: o.Name, Reason: "it holds a key of organisation " + holder.Name}
+		if owner := t.keys[key]; owner != nil && owner != o {
+			return &OrganisationError{Organisation: o.Name, Reason: "it holds a key of organisation " + owner.Name}
 		}
 		t.keys[key] = o
 	}
 	return nil
 }
 
-// OrganisationError reports an organisation of a configuration that can't be used.
+// OrganisationError reports an invalid organisation. NewTable then rejects the whole
+// configuration.
 type OrganisationError struct {
-	// Organisation is the name of the faulty organisation.
+	// Organisation is the name of the invalid organisation.
 	Organisation string
-	// Reason says what is wrong. It holds no key.
+	// Reason describes the fault. It must not contain a key.
 	Reason string
 }
 
--- a/state/route/organisation_test.go
+++ b/state/route/organisation_test.go
@@ -10,10 +10,10 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-func keyed(all ...Organisation) Config { return Config{Version: 1, Organisations: all} }
+func withOrganisations(all ...Organisation) Config { return Config{Version: 1, Organisations: all} }
 
 func TestKeyFindsItsOrganisation(t *testing.T) {
-	table, err := NewTable(keyed(
+	table, err := NewTable(withOrganisations(
 		Organisation{Name: "a", Keys: []string{"k1", "k2"}, Quota: &model.Rate{PerSecond: 2, Burst: 1}},
 		Organisation{Name: "b", Keys: []string{"k3"}},
 	), Policy{})
@@ -25,9 +25,9 @@
 	must.Nil(t, table.Organisation(""))
 }
 
-// A site whose configuration names no organisations has no keys; one whose list is empty
-// lets nobody in.
-func TestKeysAreAskedForOnlyWhereOrganisationsAreNamed(t *testing.T) {
+// A configuration without a list of organisations needs no keys. One with an empty list
+// requires a key that no caller has, so that all callers are rejected.
+func TestKeysAreRequiredOnlyWithOrganisations(t *testing.T) {
 	without, err := NewTable(Config{Version: 1}, Policy{})
 	must.NoError(t, err)
 	must.False(t, without.Keyed())
@@ -36,8 +36,8 @@
 	must.True(t, none.Keyed())
 }
 
-// A configuration in which it isn't clear who holds a key is not used, and what is said of
-// it holds no key.
+// A configuration with an invalid or ambiguous organisation, such as two with the same key,
+// is rejected, and the error message doesn't reveal the key.
 func TestFaultyOrganisationsAreRefusedWithoutTheirKeys(t *testing.T) {
 	const secret = "s3cr3t"
 	for name, faulty := range map[string][]Organisation{
@@ -48,7 +48,7 @@
 		"an empty key":                   {{Name: "a", Keys: []string{secret, ""}}},
 		"an empty quota":                 {{Name: "a", Keys: []string{secret}, Quota: &model.Rate{}}},
 	} {
-		_, err := NewTable(keyed(faulty...), Policy{})
+		_, err := NewTable(withOrganisations(faulty...), Policy{})
 		var typed *OrganisationError
 		must.True(t, errors.As(err, &typed), must.Sprint(name))
 		must.False(t, strings.Contains(err.Error(), secret), must.Sprint(name))
@@ -56,25 +56,25 @@
 }
 
 func BenchmarkOrganisation(b *testing.B) {
-	table, err := NewTable(keyed(Organisation{Name: "a", Keys: []string{"92cqf75rjvz48wuakn2f"}}), Policy{})
+	table, err := NewTable(withOrganisations(Organisation{Name: "a", Keys: []string{"92cqf75rjvz48wuakn2f"}}), Policy{})
 	must.NoError(b, err)
 	b.ReportAllocs()
 	for b.Loop() {
 		if table.Organisation("92cqf75rjvz48wuakn2f") == nil {
-			b.Fatal("the key isn't found")
+			b.Fatal("no organisation found for the key")
 		}
 	}
 }
 
 func TestOrganisationsWeighAsMuchAsTheirQuotas(t *testing.T) {
-	table, err := NewTable(keyed(
+	table, err := NewTable(withOrganisations(
 		Organisation{Name: "a", Quota: &model.Rate{PerSecond: 20, Burst: 1}},
 		Organisation{Name: "b", Quota: &model.Rate{PerSecond: 60, Burst: 1}},
 		Organisation{Name: "c"},
 	), Policy{})
 	must.NoError(t, err)
 	must.Eq(t, []float64{20, 60, 60}, []float64{table.Weight("a"), table.Weight("b"), table.Weight("c")})
-	none, err := NewTable(keyed(Organisation{Name: "a"}), Policy{})
+	none, err := NewTable(withOrganisations(Organisation{Name: "a"}), Policy{})
 	must.NoError(t, err)
 	must.Eq(t, 1.0, none.Weight("a"))
 }
--- a/state/route/table.go
+++ b/state/route/table.go
@@ -1,7 +1,6 @@
-// Package route holds one version of the routes that callers' requests follow:
-// which host and path lead to which service, how often a request may be sent
-// and how long it may take. A Table is immutable; a node swaps in a new one as
-// a whole.
+// Package route holds one version of the routing configuration: which host and
+// path lead to which service, how many attempts a request may make and how long
+// it may take. A Table is immutable; a node replaces it as a whole.
 package route
 
 import (
@@ -11,123 +10,131 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Version numbers the configurations. A higher one replaces a lower one.
+// Version is the version number of a configuration. A higher version replaces a lower one.
 type Version uint64
 
-// Route is where requests to one host and path prefix go.
+// Route defines how requests to one host and path prefix are handled: the services that
+// serve them, their deadline, priority and number of attempts.
 type Route struct {
 	// Name identifies the route in logs and metrics.
 	Name string
-	// Host is the host name that callers ask for.
+	// Host is the HTTP host that callers address.
 	Host string
-	// Prefix begins the path. It begins and ends with a slash.
+	// Prefix is the path prefix. It begins and ends with a slash.
 	Prefix string
-	// Kind says whether a request may run more than once.
+	// Kind is the kind of the requests. It determines whether a request may be executed more
+	// than once.
 	Kind model.ClassKind
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the maximum time until the caller gets a response.
 	Timeout time.Duration
-	// Target is the time within which a response is worth most to its caller.
+	// Target is the target latency: the time within which a response has its full value for
+	// the caller.
 	Target time.Duration
 	// Priority ranks requests that compete for a slot; 0 is the most important.
 	Priority int
-	// Anonymous says that callers need no key.
+	// Anonymous means that callers need no key.
 	Anonymous bool
-	// Attempts is the number of backend servers that one request may reach.
+	// Attempts is the maximum number of backend servers to which one request may be sent.
 	Attempts int
-	// Splits are the services that share the requests. There is at least one.
+	// Splits are the services among which the requests are divided. There is at least one.
 	Splits []Split
 	// Regions are the regions in which requests may be served; empty allows all.
 	Regions []model.Region
-	// Fault is why the route can't be used; nil for a usable one. Requests of a faulty route
-	// are refused and don't fall through to a route with a shorter prefix.
+	// Fault is the reason why the route can't be used; nil for a usable route. Requests that
+	// match a faulty route are refused; they don't fall through to a route with a shorter
+	// prefix.
 	Fault error
 	// weight is the sum of the weights of Splits.
 	weight int
 }
 
-// Split is a service's part of a route's requests.
+// Split assigns a share of a route's requests to a service.
 type Split struct {
 	// Service is the service's name.
 	Service string
-	// Weight is the part, relative to the sum of all weights of the route.
+	// Weight is the service's share, relative to the sum of all weights of the route.
 	Weight int
 }
 
-// Repeatable reports whether a request may run more than once.
+// Repeatable reports whether a request may be executed more than once.
 func (r *Route) Repeatable() bool { return r.Kind.Repeatable() }
 
-// Pick returns the service for one request. chance is in [0, 1).
-func (r *Route) Pick(chance float64) string {
+// Pick returns the service for one request, by weighted random choice. draw is a random
+// number in [0, 1).
+func (r *Route) Pick(draw float64) string {
 	if len(r.Splits) == 1 {
 		return r.Splits[0].Service
 	}
-	left := int(chance * float64(r.weight))
+	remaining := int(draw * float64(r.weight))
 	for i := range r.Splits {
-		left -= r.Splits[i].Weight
-		if left < 0 {
+		remaining -= r.Splits[i].Weight
+		if remaining < 0 {
 			return r.Splits[i].Service
 		}
 	}
 	return r.Splits[len(r.Splits)-1].Service
 }
 
-// CallerLimits bound what a caller may send. 0 is no bound.
+// CallerLimits limits the requests and connections of callers. 0 means no limit.
 type CallerLimits struct {
-	// HeaderBytes bounds a request's head, in bytes.
+	// HeaderBytes is the maximum size of a request's head in bytes.
 	HeaderBytes int
-	// BodyBytes bounds a request's body, in bytes.
+	// BodyBytes is the maximum size of a request's body in bytes.
 	BodyBytes int64
-	// HeaderTimeout bounds the time in which a head arrives.
+	// HeaderTimeout is the maximum time until a request's head has arrived.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection may stay idle.
+	// IdleTimeout is the maximum time for which a connection may be idle.
 	IdleTimeout time.Duration
 }
 
-// Service is what the configuration says of a service.
+// Service is the configuration of a service.
 type Service struct {
 	// Name is the service's name.
 	Name string
 	// Connections is the number of connections that a backend server accepts;
-	// 0 when that isn't known.
+	// 0 if unknown.
 	Connections int
-	// ColdPerSecond is how many requests per second a backend server can handle while it is
-	// cold after a start; 0 is no bound.
+	// ColdPerSecond is the number of requests per second that a backend server can handle
+	// while it is cold after a start; 0 means no limit.
 	ColdPerSecond float64
-	// ColdTime is how long a backend server is cold after a start.
+	// ColdTime is the time for which a backend server is cold after a start.
 	ColdTime time.Duration
 }
 
-// Config is what a Table is made of.
+// Config is the content from which NewTable builds a Table.
 type Config struct {
 	Version  Version
 	Limits   CallerLimits
 	Routes   []Route
 	Services []Service
-	// Faults are the errors of parts that were left out or read as stricter than written.
+	// Faults are the errors of parts that were omitted or interpreted more strictly than
+	// written.
 	Faults []error
-	// Organisations are the firms whose callers show a key. Nil is a site without
-	// keys; an empty list is one where nobody holds a key.
+	// Organisations are the organisations whose callers send keys. If it is nil, no keys
+	// are required; if it is empty but not nil, keys are required and none is valid.
 	Organisations []Organisation
 }
 
-// Policy is how the backend servers of every service are used, as far as the
-// configuration doesn't say.
+// Policy holds the load-balancing settings that apply to the backend servers of every
+// service and that the configuration doesn't contain.
 type Policy struct {
-	// MaxEjected is the largest part of a service's backend servers that may
+	// MaxEjected is the maximum fraction of a service's backend servers that may
 	// be ejected for failures at one time, 0 to 1.
 	MaxEjected float64
-	// SlowStart is how long a backend server that joins is given less.
+	// SlowStart is the time for which a backend server gets less load after it has joined.
 	SlowStart time.Duration
 }
 
-// Table is one version of the routes. It is immutable.
+// Table is one version of the routes, indexed for the lookup of a request's route. It is
+// immutable.
 type Table struct {
 	version  Version
 	limits   CallerLimits
 	hosts    map[string]map[string]*Route
 	services map[string]*service
 	faults   []error
-	// keyed says that callers show keys; keys and organisations index who holds them.
+	// keyed means that callers must send keys. keys indexes the organisations by key,
+	// organisations by name.
 	keyed         bool
 	keys          map[string]*Organisation
 	organisations map[string]*Organisation
@@ -141,10 +148,10 @@
 	policy *model.Service
 }
 
-// NewTable indexes a configuration. A route that can't be used leaves the others in force and is
-// reported by Faults. If there are routes and none can be used, the error is the fault of the
-// first one. It may also be an *OrganisationError. On an error nothing of the configuration is
-// used.
+// NewTable validates and indexes a configuration. An unusable route doesn't affect the other
+// routes and is reported by Faults. If there are routes and none is usable, NewTable returns the
+// first route's fault as the error. For an invalid organisation it returns an
+// *OrganisationError. On an error the whole configuration is rejected.
 func NewTable(c Config, p Policy) (*Table, error) {
 	t := &Table{
 		version:  c.Version,
@@ -169,7 +176,7 @@
 	}
 	usable := 0
 	for i := range c.Routes {
-		if t.add(&c.Routes[i]) {
+		if t.addRoute(&c.Routes[i]) {
 			usable++
 		}
 	}
@@ -179,10 +186,11 @@
 	return t, nil
 }
 
-// add indexes a route and reports whether it can be used.
-func (t *Table) add(r *Route) bool {
+// addRoute validates and indexes a route and reports whether it is usable. A faulty route with a
+// valid prefix is indexed as well, so that it matches its requests and they are refused.
+func (t *Table) addRoute(r *Route) bool {
 	if r.Fault == nil {
-		r.Fault = t.check(r)
+		r.Fault = t.checkRoute(r)
 	}
 	if r.Fault != nil {
 		t.faults = append(t.faults, r.Fault)
@@ -204,8 +212,9 @@
 	return r.Fault == nil
 }
 
-// check returns why a route can't be used, or nil, and sums its weights.
-func (t *Table) check(r *Route) error {
+// checkRoute sums the weights of a route's splits. It returns the reason why the route can't be
+// used, or nil.
+func (t *Table) checkRoute(r *Route) error {
 	if !validPrefix(r.Prefix) {
 		return &InvalidError{Route: r.Name, Reason: "the prefix must begin and end with a slash"}
 	}
@@ -229,19 +238,19 @@
 	return strings.HasPrefix(prefix, "/") && strings.HasSuffix(prefix, "/")
 }
 
-// Faults returns the errors of parts of the configuration that can't be used or are read as
-// stricter than written: those of Config.Faults and one for each refused route. It must not be
-// changed.
+// Faults returns the errors of parts of the configuration that can't be used or are interpreted
+// more strictly than written: those in Config.Faults and one for each unusable route. The slice
+// must not be modified.
 func (t *Table) Faults() []error { return t.faults }
 
 // Version returns the table's version.
 func (t *Table) Version() Version { return t.version }
 
-// Limits returns the bounds on what callers send.
+// Limits returns the limits on callers' requests and connections.
 func (t *Table) Limits() CallerLimits { return t.limits }
 
-// Service returns a service's policy, or nil when the table has none of the
-// name. It must not be changed.
+// Service returns a service's policy, or nil if the table has no service of that
+// name. The result must not be modified.
 func (t *Table) Service(name string) *model.Service {
 	if s := t.services[name]; s != nil {
 		return s.policy
@@ -249,7 +258,8 @@
 	return nil
 }
 
-// ServiceConfig returns the configuration of a service; zero when the table has none of the name.
+// ServiceConfig returns the configuration of a service, or a zero Service if the table has no
+// service of that name.
 func (t *Table) ServiceConfig(name string) Service {
 	if s := t.services[name]; s != nil {
 		return s.Service
@@ -257,8 +267,8 @@
 	return Service{}
 }
 
-// Lookup returns the route with the longest prefix that begins the path, or nil
-// when none does. host may carry a port.
+// Lookup returns the route of the host with the longest prefix that matches the
+// path, or nil if none matches. host may include a port.
 func (t *Table) Lookup(host, path string) *Route {
 	prefixes := t.hosts[canonicalHost(host)]
 	if prefixes == nil {
@@ -277,7 +287,7 @@
 	return nil
 }
 
-// canonicalHost removes the port and folds the case.
+// canonicalHost returns host without its port and in lower case.
 func canonicalHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
@@ -285,11 +295,11 @@
 	return strings.ToLower(host)
 }
 
-// InvalidError reports a configuration that can't be used.
+// InvalidError reports a route that can't be used.
 type InvalidError struct {
 	// Route is the name of the faulty route.
 	Route string
-	// Reason says what is wrong.
+	// Reason describes the fault.
 	Reason string
 }
 
--- a/state/route/table_test.go
+++ b/state/route/table_test.go
@@ -9,11 +9,11 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-func of(host, prefix string) Route {
+func testRoute(host, prefix string) Route {
 	return Route{Name: host + prefix, Host: host, Prefix: prefix, Attempts: 1, Splits: []Split{{Service: "s", Weight: 1}}}
 }
 
-func table(t *testing.T, routes ...Route) *Table {
+func newTestTable(t *testing.T, routes ...Route) *Table {
 	t.Helper()
 	tab, err := NewTable(Config{Version: 1, Routes: routes, Services: []Service{{Name: "s", Connections: 5}, {Name: "t"}}}, Policy{})
 	must.NoError(t, err)
@@ -21,7 +21,7 @@
 }
 
 func TestLongestPrefixWins(t *testing.T) {
-	tab := table(t, of("a", "/"), of("a", "/x/"), of("a", "/x/y/"), of("b", "/x/"))
+	tab := newTestTable(t, testRoute("a", "/"), testRoute("a", "/x/"), testRoute("a", "/x/y/"), testRoute("b", "/x/"))
 	for path, want := range map[string]string{
 		"/": "a/", "/x": "a/", "/x/": "a/x/", "/x/z": "a/x/", "/x/y": "a/x/", "/x/y/": "a/x/y/", "/x/y/z/w": "a/x/y/", "/xy/": "a/",
 	} {
@@ -36,9 +36,9 @@
 }
 
 func TestSplitFollowsTheWeights(t *testing.T) {
-	r := of("a", "/")
+	r := testRoute("a", "/")
 	r.Splits = []Split{{"s", 90}, {"t", 10}}
-	picked := table(t, r).Lookup("a", "/")
+	picked := newTestTable(t, r).Lookup("a", "/")
 	counts := map[string]int{}
 	for i := range 1000 {
 		counts[picked.Pick(float64(i)/1000)]++
@@ -46,11 +46,11 @@
 	must.Eq(t, map[string]int{"s": 900, "t": 100}, counts)
 }
 
-// A faulty route must not take the others out of service, and its requests must not fall through
-// to a route with a shorter prefix.
+// A faulty route must not disable the other routes, and its requests must not fall through to a
+// route with a shorter prefix.
 func TestFaultyRouteIsRefusedAlone(t *testing.T) {
 	bad := func(change func(*Route)) Route {
-		r := of("a", "/x/")
+		r := testRoute("a", "/x/")
 		change(&r)
 		return r
 	}
@@ -60,9 +60,9 @@
 		"no attempts":     {bad(func(r *Route) { r.Attempts = 0 })},
 		"unknown service": {bad(func(r *Route) { r.Splits = []Split{{"u", 1}} })},
 		"no weight":       {bad(func(r *Route) { r.Splits = []Split{{"s", 0}} })},
-		"same place":      {of("a", "/x/"), of("A", "/x/")},
+		"same place":      {testRoute("a", "/x/"), testRoute("A", "/x/")},
 	} {
-		tab, err := NewTable(Config{Routes: append([]Route{of("a", "/")}, routes...), Services: []Service{{Name: "s"}}}, Policy{})
+		tab, err := NewTable(Config{Routes: append([]Route{testRoute("a", "/")}, routes...), Services: []Service{{Name: "s"}}}, Policy{})
 		must.NoError(t, err, must.Sprint(name))
 		must.Len(t, 1, tab.Faults(), must.Sprint(name))
 		invalid, ok := errors.AsType[*InvalidError](tab.Faults()[0])
@@ -76,7 +76,7 @@
 }
 
 func TestConfigurationWithoutAUsableRouteIsRefusedWhole(t *testing.T) {
-	faulty := of("a", "/x/")
+	faulty := testRoute("a", "/x/")
 	faulty.Attempts = 0
 	_, err := NewTable(Config{Routes: []Route{faulty, faulty}, Services: []Service{{Name: "s"}}}, Policy{})
 	_, ok := errors.AsType[*InvalidError](err)
--- a/state/snapshot/codec.go
+++ b/state/snapshot/codec.go
@@ -7,12 +7,12 @@
 	"github.com/jacinthgate/jacinthgate/state/codec"
 )
 
-// MaxDecoded is the largest decompressed snapshot or delta in bytes; larger
-// input is refused.
+// MaxDecoded is the maximum size in bytes of a decompressed snapshot or delta.
+// Larger input is rejected.
 const MaxDecoded = 64 << 20
 
-// limits bound what a body holds; Elements counts contracts, services or
-// deletions.
+// limits are the limits on a decoded snapshot or delta. Elements limits the
+// number of contracts, of services and of deletions.
 var limits = codec.Limits{Elements: 64 << 10, Nesting: 16}
 
 var (
@@ -38,7 +38,7 @@
 	return d
 }
 
-// body is the encoded form of a whole snapshot.
+// body is the encoded form of a full snapshot.
 type body struct {
 	Ref       Ref                       `cbor:"1,keyasint"`
 	Contracts map[string]*ContractEntry `cbor:"2,keyasint"`
@@ -46,13 +46,13 @@
 }
 
 // Encode returns the snapshot as compressed CBOR. It returns a *SizeError for
-// a snapshot that Decode would refuse.
+// a snapshot that is too large for Decode.
 func (s *Snapshot) Encode() ([]byte, error) {
 	return encode(&body{Ref: s.ref, Contracts: s.contracts, Services: s.services})
 }
 
-// Decode returns the whole snapshot in b. It returns a *CodecError, a
-// *HashError or one of Consistent's errors, and never a part of a snapshot.
+// Decode returns the full snapshot encoded in b. Otherwise it returns no snapshot
+// and a *CodecError, a *NilEntryError, a *HashError or one of Consistent's errors.
 func Decode(b []byte) (*Snapshot, error) {
 	var v body
 	if err := decode("snapshot", b, &v); err != nil {
@@ -72,10 +72,11 @@
 }
 
 // Encode returns the delta as compressed CBOR. It returns a *SizeError for a
-// delta that DecodeDelta would refuse.
+// delta that is too large for DecodeDelta.
 func (d *Delta) Encode() ([]byte, error) { return encode(d) }
 
-// DecodeDelta returns the delta in b, or a *CodecError. Apply checks it.
+// DecodeDelta returns the delta encoded in b, or a *CodecError. It doesn't check
+// the content of the delta; Apply does.
 func DecodeDelta(b []byte) (*Delta, error) {
 	d := new(Delta)
 	if err := decode("delta", b, d); err != nil {
--- a/state/snapshot/consistent.go
+++ b/state/snapshot/consistent.go
@@ -1,8 +1,9 @@
 package snapshot
 
-// Consistent checks the snapshot as a whole: each entry is stored under its
-// own name, each route's service and class are held, and no two contracts
-// claim one host. It returns the first fault in order of name: a *NameError,
+// Consistent checks the snapshot as a whole: the key of each entry must be the
+// name of its document, the service and class of each route must exist, and no
+// two contracts may claim the same HTTP host. It makes these checks in this
+// order and returns the first fault in order of name: a *NameError,
 // *ReferenceError or *HostError.
 func (s *Snapshot) Consistent() error {
 	if err := s.checkNames(); err != nil {
@@ -14,9 +15,10 @@
 	return s.checkHosts()
 }
 
-// ValidateDocuments checks each contract and service by itself. Snapshots share
-// the entries that did not change, so each document is checked once. It returns the first fault in order of name as a
-// *DocumentError.
+// ValidateDocuments validates each service and contract separately. It returns
+// the first fault, services before contracts and in order of name, as a
+// *DocumentError. Snapshots share unchanged entries, so that each valid document
+// is validated only once.
 func (s *Snapshot) ValidateDocuments() error {
 	for _, name := range s.Services() {
 		e := s.services[name]
@@ -80,7 +82,7 @@
 	for _, organisation := range s.Organisations() {
 		for _, host := range s.contracts[organisation].Contract.Hosts {
 			host = NormalizeHost(host)
-			if first, taken := owner[host]; taken {
+			if first, claimed := owner[host]; claimed {
 				return &HostError{Host: host, First: first, Second: organisation}
 			}
 			owner[host] = organisation
--- a/state/snapshot/delta.go
+++ b/state/snapshot/delta.go
@@ -2,8 +2,9 @@
 
 import "maps"
 
-// Delta turns one snapshot into a later one. Its result is checked by hash, so
-// a node never holds anything but a whole accepted version.
+// Delta contains the changes from one snapshot to a later one. Apply checks the
+// hash of its result, so that a node never holds anything but a complete accepted
+// version.
 type Delta struct {
 	From            Ref                       `cbor:"1,keyasint"`
 	To              Ref                       `cbor:"2,keyasint"`
@@ -13,7 +14,7 @@
 	DeleteServices  []string                  `cbor:"6,keyasint,omitempty"`
 }
 
-// Diff returns the delta from a to b. b may be any number of versions later.
+// Diff returns the delta from a to b. b may be any number of versions newer.
 func Diff(a, b *Snapshot) *Delta {
 	d := &Delta{
 		From:         a.ref,
@@ -46,8 +47,9 @@
 	return d
 }
 
-// Apply returns the snapshot that d leads to. s is unchanged. It returns a
-// *VersionError, *BaseError, *HashError or one of Consistent's errors.
+// Apply returns the snapshot that results from applying d to s, which it doesn't
+// modify. On failure it returns a *VersionError, *BaseError, *NilEntryError,
+// *HashError or one of Consistent's errors.
 func (s *Snapshot) Apply(d *Delta) (*Snapshot, error) {
 	if d.To.Version <= s.ref.Version {
 		return nil, &VersionError{Held: s.ref.Version, Offered: d.To.Version}
--- a/state/snapshot/errors.go
+++ b/state/snapshot/errors.go
@@ -11,25 +11,25 @@
 // Error implements error.
 func (e *NilEntryError) Error() string { return "entry " + e.Name + " has no document" }
 
-// BaseError reports a delta that does not start from the held snapshot.
+// BaseError reports a delta whose base is not the held snapshot.
 type BaseError struct {
-	// Held is the snapshot's own reference.
+	// Held is the reference of the held snapshot.
 	Held Ref
-	// From is the delta's base.
+	// From is the reference of the delta's base.
 	From Ref
 }
 
 // Error implements error.
 func (e *BaseError) Error() string {
-	return fmt.Sprintf("delta starts from version %d (%s), held is %d (%s)",
+	return fmt.Sprintf("delta has base version %d (%s), but the held version is %d (%s)",
 		e.From.Version, e.From.Hash, e.Held.Version, e.Held.Hash)
 }
 
-// HashError reports content that does not have the promised hash.
+// HashError reports content that does not have the expected hash.
 type HashError struct {
-	// Want is the promised reference.
+	// Want is the expected reference.
 	Want Ref
-	// Got is the content's own reference.
+	// Got is the reference with the hash of the content.
 	Got Ref
 }
 
@@ -38,11 +38,11 @@
 	return fmt.Sprintf("content of version %d has hash %s, want %s", e.Want.Version, e.Got.Hash, e.Want.Hash)
 }
 
-// VersionError reports a version that is not newer than the one held.
+// VersionError reports a version that is not newer than the held one.
 type VersionError struct {
-	// Held is the version held.
+	// Held is the held version.
 	Held uint64
-	// Offered is the version refused.
+	// Offered is the rejected version.
 	Offered uint64
 }
 
@@ -51,27 +51,27 @@
 	return fmt.Sprintf("version %d is not newer than %d", e.Offered, e.Held)
 }
 
-// ReferenceError reports a route that points at something the snapshot does
-// not hold.
+// ReferenceError reports a route that refers to a service or class that does not
+// exist.
 type ReferenceError struct {
-	// Organisation and Route name the route.
+	// Organisation and Route are the names of the contract and its route.
 	Organisation, Route string
 	// Kind is "service" or "class".
 	Kind string
-	// Name is what the route refers to.
+	// Name is the name of the missing service or class.
 	Name string
 }
 
 // Error implements error.
 func (e *ReferenceError) Error() string {
-	return fmt.Sprintf("contract %s, route %s: %s %q is not held", e.Organisation, e.Route, e.Kind, e.Name)
+	return fmt.Sprintf("contract %s, route %s: %s %q does not exist", e.Organisation, e.Route, e.Kind, e.Name)
 }
 
-// HostError reports a host that two contracts claim.
+// HostError reports an HTTP host that two contracts claim.
 type HostError struct {
-	// Host is the HTTP host.
+	// Host is the normalised HTTP host.
 	Host string
-	// First and Second are the organisations, in order of name.
+	// First and Second are the organisations of the contracts, in order of name.
 	First, Second string
 }
 
@@ -91,7 +91,7 @@
 // Error implements error.
 func (e *NameError) Error() string { return fmt.Sprintf("entry %s holds document %q", e.Key, e.Name) }
 
-// CodecError reports bytes that are no encoded snapshot or delta.
+// CodecError reports bytes that can't be decoded as a snapshot or delta.
 type CodecError struct {
 	// What is "snapshot" or "delta".
 	What string
@@ -113,10 +113,10 @@
 
 // Error implements error.
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("uncompressed size of %d bytes, at most %d are allowed", e.Size, MaxDecoded)
+	return fmt.Sprintf("uncompressed size is %d bytes, the maximum is %d", e.Size, MaxDecoded)
 }
 
-// DocumentError reports a contract or service with faults.
+// DocumentError reports an invalid contract or service.
 type DocumentError struct {
 	// Kind is "contract" or "service".
 	Kind string
--- a/state/snapshot/fuzz_test.go
+++ b/state/snapshot/fuzz_test.go
@@ -10,10 +10,11 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// compress returns the encoded form of raw CBOR.
+// compress returns the zstd-compressed form of raw CBOR.
 func compress(raw ...byte) []byte { return encoder.EncodeAll(raw, nil) }
 
-func versions(f testing.TB) (*Snapshot, *Snapshot) {
+// twoVersions returns versions 1 and 2 of a configuration, whose contracts differ.
+func twoVersions(f testing.TB) (*Snapshot, *Snapshot) {
 	services := map[string]*ServiceEntry{"foglalas": {Revision: 1, Service: &model.Service{Name: "foglalas"}}}
 	entry := &ContractEntry{Revision: 1, Contract: contract("clinic", "clinic.example", "foglalas")}
 	a, err := Build(1, map[string]*ContractEntry{"clinic": entry}, services)
@@ -24,10 +25,10 @@
 	return a, b
 }
 
-// FuzzDecodeSnapshot works on plain CBOR, so that the fuzzer gets past the
-// compression.
+// FuzzDecodeSnapshot takes uncompressed CBOR as its input and compresses it,
+// because random bytes would rarely pass decompression.
 func FuzzDecodeSnapshot(f *testing.F) {
-	a, _ := versions(f)
+	a, _ := twoVersions(f)
 	raw, err := encMode.Marshal(&body{Ref: a.ref, Contracts: a.contracts, Services: a.services})
 	must.NoError(f, err)
 	f.Add(raw)
@@ -37,7 +38,8 @@
 		if decode("snapshot", compress(raw...), &v) != nil {
 			return
 		}
-		// With the right hash the fuzzer gets past the check of it.
+		// Build computes the hash of the content, so that Decode below doesn't
+		// reject the input for a wrong hash.
 		s, err := Build(v.Ref.Version, v.Contracts, v.Services)
 		if err != nil {
 			return
@@ -55,7 +57,7 @@
 }
 
 func FuzzDecodeDelta(f *testing.F) {
-	a, b := versions(f)
+	a, b := twoVersions(f)
 	raw, err := encMode.Marshal(Diff(a, b))
 	must.NoError(f, err)
 	f.Add(raw)
@@ -100,7 +102,7 @@
 			var ce *CodecError
 			_, err := Decode(b)
 			must.True(t, errors.As(err, &ce))
-			if name != "not a number" { // a delta has other keys
+			if name != "not a number" { // as a delta, key 2 has another meaning
 				_, err = DecodeDelta(b)
 				must.True(t, errors.As(err, &ce))
 			}
--- a/state/snapshot/lookup.go
+++ b/state/snapshot/lookup.go
@@ -8,7 +8,7 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Target is one contract prepared for lookups on the path of a request.
+// Target is a contract with an index of its classes, for the lookup of requests.
 type Target struct {
 	// Contract is the organisation's contract.
 	Contract *model.Contract
@@ -16,24 +16,25 @@
 	classes map[string]*model.Class
 }
 
-// Match is the result of a lookup: what a request is and where it goes. All
-// pointers are into the immutable snapshot.
+// Match is the result of a lookup: the contract, route, class and service of a
+// request. All its pointers refer to the immutable snapshot.
 type Match struct {
 	// Contract is the organisation's contract.
 	Contract *model.Contract
-	// Route is the first route that matches; nil when none does.
+	// Route is the first matching route; nil if none matches. Class and Service
+	// are nil then, too.
 	Route *model.Route
 	// Class is the route's class.
 	Class *model.Class
 	// Service is the route's service.
 	Service *model.Service
-	// HandledBy says which system handles the request.
+	// HandledBy is the system that handles the request.
 	HandledBy model.System
 }
 
-// Lookup finds the organisation by the request's Host and the first route that
-// matches method and path. It returns false when no contract has the host. It
-// allocates nothing for a lower-case host without a port.
+// Lookup finds the contract that claims the request's HTTP host, and its first
+// route that matches the method and path. It returns false if no contract claims
+// the host. It does not allocate memory if host is in lower case and has no port.
 func (s *Snapshot) Lookup(host, method, path string) (Match, bool) {
 	t := s.hosts[NormalizeHost(host)]
 	if t == nil {
@@ -73,7 +74,7 @@
 	if !strings.HasPrefix(path, r.PathPrefix) {
 		return false
 	}
-	// Whole segments only: /a matches /a and /a/b, but not /ab.
+	// A prefix matches only whole path segments: /a matches /a and /a/b, but not /ab.
 	return len(path) == len(r.PathPrefix) ||
 		strings.HasSuffix(r.PathPrefix, "/") ||
 		path[len(r.PathPrefix)] == '/'
--- a/state/snapshot/snapshot.go
+++ b/state/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package snapshot holds one whole, immutable version of the configuration.
-// A Snapshot is built whole, checked by Consistent and swapped at once; it is
-// never changed afterwards, so readers need no lock.
+// Package snapshot holds one complete, immutable version of the configuration.
+// A Snapshot is built as a whole, checked by Consistent and then swapped in
+// atomically. It is never modified afterwards, so that readers need no lock.
 package snapshot
 
 import (
@@ -19,11 +19,11 @@
 type ContractEntry struct {
 	// Revision is the configuration version that last changed the contract.
 	Revision uint64 `cbor:"1,keyasint"`
-	// Contract must not be changed.
+	// Contract is the document. It must not be modified.
 	Contract *model.Contract `cbor:"2,keyasint"`
 
 	sum [sha256.Size]byte
-	// valid is set once the contract has been found valid.
+	// valid is set once the contract has passed validation.
 	valid atomic.Bool
 }
 
@@ -31,15 +31,16 @@
 type ServiceEntry struct {
 	// Revision is the configuration version that last changed the service.
 	Revision uint64 `cbor:"1,keyasint"`
-	// Service must not be changed.
+	// Service is the document. It must not be modified.
 	Service *model.Service `cbor:"2,keyasint"`
 
 	sum [sha256.Size]byte
-	// valid is set once the service has been found valid.
+	// valid is set once the service has passed validation.
 	valid atomic.Bool
 }
 
-// Snapshot is one whole version. All its methods are safe for concurrent use.
+// Snapshot is one complete version of the configuration. All its methods are safe
+// for concurrent use.
 type Snapshot struct {
 	ref       Ref
 	contracts map[string]*ContractEntry
@@ -47,14 +48,15 @@
 	hosts     map[string]*Target
 }
 
-// Empty returns the snapshot of version 0, which holds nothing.
+// Empty returns the snapshot of version 0, which has no entries.
 func Empty() *Snapshot {
 	return &Snapshot{}
 }
 
 // Build returns the snapshot of the given version with the given entries. The
-// maps and documents must not be changed afterwards. The result is not checked:
-// call Consistent before it is used.
+// maps and documents must not be modified afterwards. It returns a *NilEntryError
+// for an entry without a document. It doesn't make the checks of Consistent;
+// call that before the snapshot is used.
 func Build(version uint64, contracts map[string]*ContractEntry, services map[string]*ServiceEntry) (*Snapshot, error) {
 	s := &Snapshot{contracts: contracts, services: services}
 	if err := s.sumEntries(); err != nil {
@@ -71,10 +73,10 @@
 // Version returns the snapshot's version.
 func (s *Snapshot) Version() uint64 { return s.ref.Version }
 
-// Contract returns an organisation's entry, or nil. It must not be changed.
+// Contract returns an organisation's entry, or nil. It must not be modified.
 func (s *Snapshot) Contract(organisation string) *ContractEntry { return s.contracts[organisation] }
 
-// Service returns a service's entry, or nil. It must not be changed.
+// Service returns a service's entry, or nil. It must not be modified.
 func (s *Snapshot) Service(name string) *ServiceEntry { return s.services[name] }
 
 // Organisations returns the names of all organisations, sorted.
@@ -103,7 +105,9 @@
 	return nil
 }
 
-// sumDocument fills in an entry's sum once; entries are shared by snapshots.
+// sumDocument sets sum to the SHA-256 hash of the encoded document unless it is
+// set already. Snapshots share entries, so that an entry may have its sum from an
+// earlier Build.
 func sumDocument(sum *[sha256.Size]byte, doc any) error {
 	if *sum != ([sha256.Size]byte{}) {
 		return nil
@@ -116,7 +120,8 @@
 	return nil
 }
 
-// hash covers the version and each entry's name, revision and content.
+// hash returns the hash of the given version and of each entry's name, revision
+// and content.
 func (s *Snapshot) hash(version uint64) Hash {
 	h := sha256.New()
 	writeUint := func(v uint64) {
