--- a/coordination/accept/build.go
+++ b/coordination/accept/build.go
@@ -141,7 +141,7 @@
 }
 
 // build returns the version that follows base, with the batch's documents. The
-// error is one of snapshot.Build or of Snapshot.Consistent.
+// error is one of snapshot.Build or of Snapshot.CheckConsistency.
 func build(base *snapshot.Snapshot, b *model.Batch) (*snapshot.Snapshot, error) {
 	version := base.Version() + 1
 	contracts := make(map[string]*snapshot.ContractEntry)
@@ -168,5 +168,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return next, next.Consistent()
+	return next, next.CheckConsistency()
 }
--- a/coordination/distribute/accept.go
+++ b/coordination/distribute/accept.go
@@ -65,7 +65,7 @@
 }
 
 func (c *Core) validate(s *snapshot.Snapshot) error {
-	if err := s.Consistent(); err != nil {
+	if err := s.CheckConsistency(); err != nil {
 		return err
 	}
 	if c.cfg.Check == nil {
--- a/coordination/distribute/config.go
+++ b/coordination/distribute/config.go
@@ -131,7 +131,7 @@
 	// MaxRemembered bounds the number of nodes with such a record.
 	MaxRemembered int
 
-	// Check validates a whole version beyond what Consistent covers, for example
+	// Check validates a whole version beyond what CheckConsistency covers, for example
 	// against the schema. An error rejects the version. Nil accepts all. It must
 	// be a pure function.
 	Check func(*snapshot.Snapshot) error
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -30,7 +30,7 @@
 			must.MapLen(t, 2, services)
 			s, err := snapshot.Build(1, contracts, services)
 			must.NoError(t, err)
-			must.NoError(t, s.Consistent())
+			must.NoError(t, s.CheckConsistency())
 		})
 	}
 }
--- a/state/route/organisation.go
+++ b/state/route/organisation.go
@@ -28,8 +28,8 @@
 	Regions []model.Region
 }
 
-// Keyed reports whether callers must send a key on routes that aren't anonymous.
-func (t *Table) Keyed() bool { return t.keyed }
+// RequiresKey reports whether callers must send a key on routes that aren't anonymous.
+func (t *Table) RequiresKey() bool { return t.keyRequired }
 
 // Organisation returns the organisation that owns the key, or nil if none does.
 func (t *Table) Organisation(key string) *Organisation { return t.keys[key] }
--- a/state/route/organisation_test.go
+++ b/state/route/organisation_test.go
@@ -18,7 +18,7 @@
 		Organisation{Name: "b", Keys: []string{"k3"}},
 	), Policy{})
 	must.NoError(t, err)
-	must.True(t, table.Keyed())
+	must.True(t, table.RequiresKey())
 	must.Eq(t, "a", table.Organisation("k2").Name)
 	must.Eq(t, "b", table.Organisation("k3").Name)
 	must.Nil(t, table.Organisation("k4"))
@@ -30,10 +30,10 @@
 func TestKeysAreRequiredOnlyWithOrganisations(t *testing.T) {
 	without, err := NewTable(Config{Version: 1}, Policy{})
 	must.NoError(t, err)
-	must.False(t, without.Keyed())
+	must.False(t, without.RequiresKey())
 	none, err := NewTable(Config{Version: 1, Organisations: []Organisation{}}, Policy{})
 	must.NoError(t, err)
-	must.True(t, none.Keyed())
+	must.True(t, none.RequiresKey())
 }
 
 // A configuration with an invalid or ambiguous organisation, such as two with the same key,
--- a/state/route/table.go
+++ b/state/route/table.go
@@ -133,9 +133,9 @@
 	hosts    map[string]map[string]*Route
 	services map[string]*service
 	faults   []error
-	// keyed means that callers must send keys. keys indexes the organisations by key,
+	// keyRequired means that callers must send keys. keys indexes the organisations by key,
 	// organisations by name.
-	keyed         bool
+	keyRequired   bool
 	keys          map[string]*Organisation
 	organisations map[string]*Organisation
 	// largestQuota is the largest quota of an organisation, in requests per second.
@@ -160,7 +160,7 @@
 		services: make(map[string]*service, len(c.Services)),
 		faults:   c.Faults,
 
-		keyed:         c.Organisations != nil,
+		keyRequired:   c.Organisations != nil,
 		keys:          make(map[string]*Organisation, len(c.Organisations)),
 		organisations: make(map[string]*Organisation, len(c.Organisations)),
 	}
--- a/state/snapshot/codec.go
+++ b/state/snapshot/codec.go
@@ -52,7 +52,7 @@
 }
 
 // Decode returns the full snapshot encoded in b. Otherwise it returns no snapshot
-// and a *CodecError, a *NilEntryError, a *HashError or one of Consistent's errors.
+// and a *CodecError, a *NilEntryError, a *HashError or one of CheckConsistency's errors.
 func Decode(b []byte) (*Snapshot, error) {
 	var v body
 	if err := decode("snapshot", b, &v); err != nil {
@@ -65,7 +65,7 @@
 	if s.ref != v.Ref {
 		return nil, &HashError{Want: v.Ref, Got: s.ref}
 	}
-	if err := s.Consistent(); err != nil {
+	if err := s.CheckConsistency(); err != nil {
 		return nil, err
 	}
 	return s, nil
--- a/state/snapshot/consistent.go
+++ b/state/snapshot/consistent.go
@@ -1,11 +1,11 @@
 package snapshot
 
-// Consistent checks the snapshot as a whole: the key of each entry must be the
+// CheckConsistency checks the snapshot as a whole: the key of each entry must be the
 // name of its document, the service and class of each route must exist, and no
 // two contracts may claim the same HTTP host. It makes these checks in this
 // order and returns the first fault in order of name: a *NameError,
 // *ReferenceError or *HostError.
-func (s *Snapshot) Consistent() error {
+func (s *Snapshot) CheckConsistency() error {
 	if err := s.checkNames(); err != nil {
 		return err
 	}
--- a/state/snapshot/delta.go
+++ b/state/snapshot/delta.go
@@ -49,7 +49,7 @@
 
 // Apply returns the snapshot that results from applying d to s, which it doesn't
 // modify. On failure it returns a *VersionError, *BaseError, *NilEntryError,
-// *HashError or one of Consistent's errors.
+// *HashError or one of CheckConsistency's errors.
 func (s *Snapshot) Apply(d *Delta) (*Snapshot, error) {
 	if d.To.Version <= s.ref.Version {
 		return nil, &VersionError{Held: s.ref.Version, Offered: d.To.Version}
@@ -66,7 +66,7 @@
 	if next.ref != d.To {
 		return nil, &HashError{Want: d.To, Got: next.ref}
 	}
-	if err := next.Consistent(); err != nil {
+	if err := next.CheckConsistency(); err != nil {
 		return nil, err
 	}
 	return next, nil
--- a/state/snapshot/fuzz_test.go
+++ b/state/snapshot/fuzz_test.go
@@ -47,7 +47,7 @@
 		encoded, err := s.Encode()
 		must.NoError(t, err)
 		got, err := Decode(encoded)
-		if s.Consistent() != nil {
+		if s.CheckConsistency() != nil {
 			must.Error(t, err)
 			return
 		}
@@ -75,7 +75,7 @@
 		}
 		if next, err := a.Apply(d); err == nil {
 			must.Eq(t, want.Ref(), next.Ref())
-			must.NoError(t, next.Consistent())
+			must.NoError(t, next.CheckConsistency())
 			next.Lookup("clinic.example", "GET", "/rooms")
 		}
 	})
--- a/state/snapshot/snapshot.go
+++ b/state/snapshot/snapshot.go
@@ -1,5 +1,5 @@
 // Package snapshot holds one complete, immutable version of the configuration.
-// A Snapshot is built as a whole, checked by Consistent and then swapped in
+// A Snapshot is built as a whole, checked by CheckConsistency and then swapped in
 // atomically. It is never modified afterwards, so that readers need no lock.
 package snapshot
 
@@ -55,7 +55,7 @@
 
 // Build returns the snapshot of the given version with the given entries. The
 // maps and documents must not be modified afterwards. It returns a *NilEntryError
-// for an entry without a document. It doesn't make the checks of Consistent;
+// for an entry without a document. It doesn't make the checks of CheckConsistency;
 // call that before the snapshot is used.
 func Build(version uint64, contracts map[string]*ContractEntry, services map[string]*ServiceEntry) (*Snapshot, error) {
 	s := &Snapshot{contracts: contracts, services: services}
--- a/state/snapshot/snapshot_test.go
+++ b/state/snapshot/snapshot_test.go
@@ -72,14 +72,14 @@
 func TestConsistentFindsDanglingService(t *testing.T) {
 	s := build(t, 1, contract("clinic", "clinic.example", "kiosztas"))
 	var re *ReferenceError
-	must.True(t, errors.As(s.Consistent(), &re))
+	must.True(t, errors.As(s.CheckConsistency(), &re))
 	must.Eq(t, "kiosztas", re.Name)
 }
 
 func TestConsistentFindsSharedHost(t *testing.T) {
 	s := build(t, 1, contract("clinic", "A.example", "foglalas"), contract("hall", "a.example:80", "foglalas"))
 	var he *HostError
-	must.True(t, errors.As(s.Consistent(), &he))
+	must.True(t, errors.As(s.CheckConsistency(), &he))
 }
 
 func TestLookupMatchesWholeSegments(t *testing.T) {
--- a/transport/entry/bed_test.go
+++ b/transport/entry/bed_test.go
@@ -39,7 +39,7 @@
 		map[string]*snapshot.ContractEntry{"signage": {Revision: 1, Contract: c}},
 		map[string]*snapshot.ServiceEntry{"rooms": {Revision: 1, Service: &service}})
 	must.NoError(t, err)
-	must.NoError(t, s.Consistent())
+	must.NoError(t, s.CheckConsistency())
 	return s
 }
 
--- a/transport/outbound/authorise.go
+++ b/transport/outbound/authorise.go
@@ -38,7 +38,7 @@
 // the request may not be served. Both are nil where no key is needed and no known one is
 // shown.
 func (p *Proxy) authorise(r *http.Request, t *route.Table, found *route.Route) (*route.Organisation, *refusal) {
-	if !t.Keyed() {
+	if !t.RequiresKey() {
 		return nil, nil
 	}
 	o := t.Organisation(p.cfg.Dialect.Key(r.Header))
@@ -70,7 +70,7 @@
 // key may have been revoked, or the proof of the configuration may have expired.
 func (x *exchange) stillAuthorised() bool {
 	t := x.p.cfg.Table()
-	if x.route.Anonymous || !t.Keyed() {
+	if x.route.Anonymous || !t.RequiresKey() {
 		return true
 	}
 	if x.p.cfg.Freshness != nil && x.p.cfg.Freshness.Left() <= 0 {
--- a/transport/outbound/exchange.go
+++ b/transport/outbound/exchange.go
@@ -75,7 +75,7 @@
 
 func newExchange(p *Proxy, w http.ResponseWriter, r *http.Request, t *route.Table, found *route.Route, arrived time.Time) *exchange {
 	x := &exchange{p: p, w: w, r: r, route: found, arrived: arrived, firstArrival: arrived}
-	x.keyed = t.Keyed()
+	x.keyed = t.RequiresKey()
 	x.service = t.Service(found.Pick(p.rand.Float64()))
 	x.deadline = arrived.Add(found.Timeout)
 	x.trail = attempt.NewTrail(found.Repeatable(), found.Attempts)
