--- a/state/snapshot/errors.go
+++ b/state/snapshot/errors.go
@@ -64,7 +64,7 @@
 
 // Error implements error.
 func (e *ReferenceError) Error() string {
-	return fmt.Sprintf("contract %s, route %s: %s %q does not exist", e.Organisation, e.Route, e.Kind, e.Name)
+	return fmt.Sprintf("contract %s, route %s: %s %q is not held", e.Organisation, e.Route, e.Kind, e.Name)
 }
 
 // HostError reports an HTTP host that two contracts claim.
