--- a/protocol/dialect/dialect.go
+++ b/protocol/dialect/dialect.go
@@ -1,5 +1,6 @@
-// Package dialect defines what a node needs to know of the headers by which
-// callers and backend servers of a site speak, whatever they are called there.
+// Package dialect defines the interface through which a node reads and writes
+// the headers that a site's callers and backend servers use, so that the node
+// does not depend on the names of these headers.
 package dialect
 
 import "time"
@@ -10,65 +11,71 @@
 // Dialect reads and writes a site's own headers. Implementations are safe for
 // concurrent use.
 type Dialect interface {
-	// RequestID returns the identifier that the caller gave its request; empty
-	// without one.
+	// RequestID returns the identifier that the caller has set on its request;
+	// empty if there is none.
 	RequestID(h Header) string
-	// Wait returns how long the caller waits for its answer. given is false
-	// when it doesn't say. The error is typed; the request is malformed.
+	// Wait returns how long the caller waits for the response. given is false if
+	// the request doesn't state it. An error is typed and means that the request
+	// is malformed.
 	Wait(h Header) (wait time.Duration, given bool, err error)
-	// Key returns the key that the caller shows; empty without exactly one.
+	// Key returns the caller's key; empty unless the request carries exactly one.
 	Key(h Header) string
-	// StripKey removes the key, and whatever the caller has sent under the name by
-	// which backend servers are told the organisation.
+	// StripKey removes the key, and whatever the caller has sent in the header that
+	// carries the organisation to backend servers.
 	StripKey(h Header)
-	// Mark sets the headers of a request to a backend server, whatever the
-	// caller has sent under their names.
+	// Mark sets the headers of a request to a backend server. It replaces
+	// whatever the caller has sent in them.
 	Mark(h Header, m Marks)
-	// Foreign reports whether a response belongs to another request.
+	// Foreign reports whether a response belongs to another request than the given
+	// one.
 	Foreign(request, response Header) bool
-	// Load reads the load that a backend server tells with a response. told is false where
-	// it tells none. The error is typed; the response is sound whatever its load says.
-	Load(response Header) (l Load, told bool, err error)
-	// Judge reads what a backend server's response says of the request.
+	// Load returns the load that a backend server reports in a response. reported is false
+	// if the response carries none. An error is typed and doesn't affect the rest of the
+	// response, which remains valid.
+	Load(response Header) (l Load, reported bool, err error)
+	// Judge derives the request's Verdict from a backend server's response.
 	Judge(status int, response Header) Verdict
 }
 
-// Marks are what a backend server is told about a request.
+// Marks are the values that a node sets in the headers of a request to a backend
+// server.
 type Marks struct {
-	// Remaining is the time that is left for the answer.
+	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
-	// Instance is the start of the backend server that is meant.
+	// Instance is the instance of the backend server that the request is for.
 	Instance string
-	// CallerService is the service of the host where the request began; empty
-	// when that isn't known.
+	// CallerService is the service of the host that the request comes from; empty
+	// if it isn't known.
 	CallerService string
 	// Organisation is the organisation that holds the caller's key; empty for none.
 	Organisation string
 }
 
-// Load is what a backend server tells of its load.
+// Load is the load that a backend server reports.
 type Load struct {
-	// Running and Waiting are the requests that run and that wait, and Slots is how many
-	// may run at one time.
+	// Running and Waiting are the numbers of running and queued requests. Slots is how
+	// many may run at the same time.
 	Running, Waiting, Slots int
-	// Slowdown is how many times as long as usual work takes on the server's host at this
-	// moment; 0 where that isn't told.
+	// Slowdown is the factor by which work currently takes longer than usual on the
+	// server's host; 0 if it isn't reported.
 	Slowdown float64
 }
 
-// Verdict says what a response means for the request.
+// Verdict is the conclusion from a response about its request.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Ran is the backend server's own answer, a failure included.
+	// Ran means that the response is the backend server's own, which includes
+	// failures.
 	Ran Verdict = iota
-	// Refused is a promise that the backend server did not and will not run
-	// the request.
+	// Refused means that the backend server guarantees that it did not and will
+	// not run the request.
 	Refused
-	// Misdirected is a refusal by another backend server than the one meant.
+	// Misdirected means that another backend server than the intended one has
+	// refused the request.
 	Misdirected
-	// Broken is a response that no backend server gives: the request may have
-	// run.
+	// Broken means that no backend server would send such a response. The request
+	// may have run.
 	Broken
 )
--- a/protocol/message/codec.go
+++ b/protocol/message/codec.go
@@ -8,11 +8,11 @@
 	"github.com/jacinthgate/jacinthgate/state/codec"
 )
 
-// MaxSize is the largest encoded message in bytes. A larger one is refused
-// before it is decoded.
+// MaxSize is the largest encoded message in bytes. Decode rejects a
+// larger one before decoding it.
 const MaxSize = 256 << 10
 
-// limits bound what a decoded message holds.
+// limits bound the number of elements and the nesting depth of a decoded message.
 var limits = codec.Limits{Elements: 16 << 10, Nesting: 8}
 
 // SizeError reports a message that is larger than MaxSize, or empty.
@@ -26,7 +26,8 @@
 	return fmt.Sprintf("message of %d bytes: want 1 to %d", e.Size, MaxSize)
 }
 
-// KindError reports a message of a kind that this version does not know.
+// KindError reports a message of a kind that this version of the protocol
+// does not define.
 type KindError struct {
 	// Kind is the unknown kind.
 	Kind Kind
@@ -71,7 +72,7 @@
 	return append(b, body...), nil
 }
 
-// Decode reads one message. It returns a *SizeError, *KindError or
+// Decode decodes one message. It returns a *SizeError, *KindError or
 // *DecodeError and never panics, whatever the input.
 func Decode(b []byte) (Message, error) {
 	if len(b) == 0 || len(b) > MaxSize {
--- a/protocol/message/fuzz_test.go
+++ b/protocol/message/fuzz_test.go
@@ -32,11 +32,11 @@
 		if err != nil {
 			return
 		}
-		again, err := Encode(m)
+		encoded, err := Encode(m)
 		must.NoError(t, err)
-		second, err := Decode(again)
+		decoded, err := Decode(encoded)
 		must.NoError(t, err)
-		must.Eq(t, m.Kind(), second.Kind())
+		must.Eq(t, m.Kind(), decoded.Kind())
 	})
 }
 
--- a/protocol/message/priority.go
+++ b/protocol/message/priority.go
@@ -1,6 +1,6 @@
 package message
 
-// Priority orders the messages that wait for one peer.
+// Priority is the order in which queued messages are sent to a peer.
 type Priority uint8
 
 // The priorities, most urgent first.
--- a/protocol/message/suspects.go
+++ b/protocol/message/suspects.go
@@ -2,13 +2,14 @@
 
 import "github.com/jacinthgate/jacinthgate/state/suspect"
 
-// Suspects carries evidence against requests under which backend servers have ended.
+// Suspects carries evidence against requests that were in flight when backend servers
+// crashed.
 type Suspects struct {
 	Entries []suspect.Entry `cbor:"1,keyasint"`
 }
 
-// SuspectsDigest is sent now and then to a peer: the hash of the evidence that the
-// sender holds. A peer that holds other evidence answers with all of its own.
+// SuspectsDigest is sent periodically to a peer for anti-entropy: the hash of the evidence
+// that the sender holds. A peer whose evidence differs responds with all of its own.
 type SuspectsDigest struct {
 	Hash uint64 `cbor:"1,keyasint"`
 }
--- a/protocol/operator/apply.go
+++ b/protocol/operator/apply.go
@@ -6,29 +6,29 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// ApplyRequest asks for one change: all its documents come into force in one
-// version, or none does.
+// ApplyRequest is the body of a request to PathApply: one change. All its
+// documents come into force in one version, or none does.
 type ApplyRequest struct {
-	// ChangeID names the change. Sending the same change again takes effect
-	// once.
+	// ChangeID identifies the change. A change that is sent several times takes
+	// effect once.
 	ChangeID string `json:"changeId"`
 	// Batch holds the documents.
 	Batch model.Batch `json:"batch"`
-	// Base gives for each document, as "contract/NAME" or "service/NAME", the
+	// Base maps each document, as "contract/NAME" or "service/NAME", to the
 	// revision that the change is based on; 0, or no entry, for a new document.
 	Base map[string]uint64 `json:"base,omitempty"`
-	// Resend says that the change was sent before and that its outcome is not
-	// known.
+	// Resend is true if the change was sent before and its outcome is not known.
 	Resend bool `json:"resend,omitempty"`
 }
 
-// ApplyResponse says that a change is accepted. It is then in force on each
-// node as soon as the node holds Version or a newer one.
+// ApplyResponse is the response to an ApplyRequest whose change is accepted. The
+// change is in force on each node as soon as the node holds Version or a newer
+// one.
 type ApplyResponse struct {
 	ChangeID string `json:"changeId"`
 	Version  uint64 `json:"version"`
 	Hash     string `json:"hash"`
-	// Repeated says that the change had been accepted before.
+	// Repeated is true if the change had been accepted before.
 	Repeated bool `json:"repeated,omitempty"`
 }
 
@@ -40,9 +40,9 @@
 	Service  *model.Service  `json:"service,omitempty"`
 }
 
-// Documents is the answer to PathDocuments.
+// Documents is the response to PathDocuments.
 type Documents struct {
-	// Version is the version that the answering node holds.
+	// Version is the version that the responding node holds.
 	Version   uint64     `json:"version"`
 	Documents []Document `json:"documents"`
 }
@@ -54,13 +54,14 @@
 	Accepted time.Time `json:"accepted"`
 }
 
-// History is the answer to PathHistory, newest first.
+// History is the response to PathHistory, newest change first.
 type History struct {
 	Head    uint64         `json:"head"`
 	Entries []HistoryEntry `json:"entries"`
 }
 
-// DrainRequest takes the backend server of a node out of service, or back.
+// DrainRequest is the body of a request to PathDrain: it takes the backend server
+// of a node out of service, or puts it back into service.
 type DrainRequest struct {
 	Node  model.NodeID `json:"node"`
 	Drain bool         `json:"drain"`
--- a/protocol/operator/doc.go
+++ b/protocol/operator/doc.go
@@ -1,3 +1,3 @@
-// Package operator defines the JSON messages between the operator's tool and a
-// node: HTTP under /v1/ on the node's operator address.
+// Package operator defines the JSON messages that the operator's tool and a node
+// exchange by HTTP, under /v1/ on the node's operator address.
 package operator
--- a/protocol/operator/status.go
+++ b/protocol/operator/status.go
@@ -2,46 +2,47 @@
 
 import "github.com/jacinthgate/jacinthgate/state/model"
 
-// Version names a version in JSON.
+// Version is the JSON form of a version's number and hash.
 type Version struct {
 	Version uint64 `json:"version"`
 	Hash    string `json:"hash"`
 }
 
-// ZoneProgress says how far one availability zone is with a version.
+// ZoneProgress is how many nodes of one availability zone hold a version.
 type ZoneProgress struct {
 	Zone model.Zone `json:"zone"`
-	// Version is the newest version that the zone's reader reports on.
+	// Version is the newest version on which the zone's reader has reported.
 	Version uint64 `json:"version"`
-	// Live and Holding count the zone's live nodes and those that hold
-	// Version.
+	// Live and Holding are the numbers of the zone's live nodes and of those that
+	// hold Version.
 	Live    uint32 `json:"live"`
 	Holding uint32 `json:"holding"`
-	// Missing names nodes that don't hold it yet; the list is capped.
+	// Missing names nodes that don't hold Version yet; the list is capped.
 	Missing []model.NodeID `json:"missing,omitempty"`
-	// Rejections names nodes that refused the version.
+	// Rejections lists nodes that have rejected Version.
 	Rejections []Rejection `json:"rejections,omitempty"`
-	// CutOff says that no report of the zone has arrived for some time.
+	// CutOff is true if no report from the zone has arrived for some time.
 	CutOff bool `json:"cutOff"`
 	// AgeMillis is the age of the newest report, in milliseconds.
 	AgeMillis int64 `json:"ageMillis"`
-	// Lag is by how many versions Version is older than the one asked for, or
-	// in a Status than the newest that the answering node knows of.
+	// Lag is the number of versions by which Version is behind the requested one
+	// or, in a Status, behind the newest that the responding node has learned of.
 	Lag uint64 `json:"lag"`
 }
 
-// Rejection is a node that refused a version.
+// Rejection is a node's rejection of a version, with its reason.
 type Rejection struct {
 	Node    model.NodeID `json:"node"`
 	Version uint64       `json:"version"`
 	Reason  string       `json:"reason"`
 }
 
-// Progress says whether a version is in force on every live node.
+// Progress is the response to PathProgress: whether a version is in force on every
+// live node.
 type Progress struct {
 	Version uint64 `json:"version"`
-	// InForce is true when every live node of every zone that is not cut off
-	// holds Version or a newer one, and no zone is cut off.
+	// InForce is true if no zone is cut off and every live node of every zone
+	// holds Version or a newer one.
 	InForce bool           `json:"inForce"`
 	Zones   []ZoneProgress `json:"zones"`
 }
@@ -56,7 +57,7 @@
 	Failed   int        `json:"failed"`
 }
 
-// NodeStatus is one node as the answering node knows it.
+// NodeStatus is the state of one node as recorded by the responding node.
 type NodeStatus struct {
 	Node        model.NodeID `json:"node"`
 	Zone        model.Zone   `json:"zone"`
@@ -66,7 +67,7 @@
 	Incarnation uint64       `json:"incarnation"`
 }
 
-// Status is the answer to PathStatus.
+// Status is the response to PathStatus: the responding node's view of the mesh.
 type Status struct {
 	Node      model.NodeID    `json:"node"`
 	Zone      model.Zone      `json:"zone"`
--- a/protocol/outcome/outcome.go
+++ b/protocol/outcome/outcome.go
@@ -1,16 +1,17 @@
-// Package outcome defines what a caller is told about its request: the
-// response headers, the three outcomes and the reasons of a refusal.
+// Package outcome defines how the result of a request is reported to its
+// caller: the three outcomes and the reasons of a refusal. It also defines the
+// headers of requests and responses between nodes.
 package outcome
 
-// Outcome says whether a request ran.
+// Outcome is the value of HeaderOutcome: whether a request ran.
 type Outcome string
 
 // The outcomes.
 const (
-	// Answered means that the body is the backend server's whole answer.
+	// Answered means that the response is the backend server's, complete.
 	Answered Outcome = "answered"
-	// NotRun means that the request certainly was not run. Retry-After says
-	// when to come back.
+	// NotRun means that the request certainly did not run. Retry-After carries
+	// the delay after which the caller may retry it.
 	NotRun Outcome = "not-run"
 	// Unknown means that the request may have run.
 	Unknown Outcome = "unknown"
@@ -22,77 +23,83 @@
 	HeaderOutcome = "Jacinthgate-Outcome"
 	// HeaderReason carries the Reason of a response that is not Answered.
 	HeaderReason = "Jacinthgate-Reason"
-	// HeaderDeadline carries the remaining time of the request in
+	// HeaderDeadline carries the time until the request's deadline, in
 	// milliseconds.
 	HeaderDeadline = "Jacinthgate-Deadline"
-	// HeaderHops carries the number of nodes that the chain of calls has
-	// passed.
+	// HeaderHops carries the number of nodes that the chain of calls has passed
+	// through.
 	HeaderHops = "Jacinthgate-Hops"
 	// HeaderAttempt carries the number of the attempt, from 2, on a retry and
-	// on every call made on its behalf further down the chain. Such calls earn
-	// no retries. Backend servers pass it on like HeaderDeadline.
+	// on every nested call of it. Such requests add nothing to the retry budget.
+	// Backend servers copy the header to the calls that they make, like
+	// HeaderDeadline.
 	HeaderAttempt = "Jacinthgate-Attempt"
-	// HeaderOrganisation and HeaderClass tell the gate how the entry proxy
-	// classified the request.
+	// HeaderOrganisation names the organisation to which the entry proxy has
+	// assigned the request.
 	HeaderOrganisation = "Jacinthgate-Organisation"
-	// HeaderClass names the class of the request.
+	// HeaderClass names the class to which the entry proxy has assigned the
+	// request.
 	HeaderClass = "Jacinthgate-Class"
-	// HeaderKind carries the class's kind, which decides the queue's order.
+	// HeaderKind carries the kind of the class, which determines the order in the
+	// gate's queue.
 	HeaderKind = "Jacinthgate-Kind"
-	// HeaderService names the service that the entry proxy meant, so that a
-	// gate refuses a request that stale routing sent to the wrong host.
+	// HeaderService names the service that the request is for, so that a gate
+	// refuses a request that stale routing has sent to the wrong host.
 	HeaderService = "Jacinthgate-Service"
-	// HeaderLoad carries the gate's load on every response: slots in use,
-	// slots, queue length, what a request takes on average in microseconds, and how slow
-	// the host is at this moment in percent, as "used/slots/queued/work/slowdown". The
-	// last two may be left out.
+	// HeaderLoad carries the gate's load on every response, as
+	// "used/slots/queued/work/slowdown": slots in use, slots, queue length, mean service
+	// time in microseconds, and the host's current slowdown in percent. The last two may
+	// be omitted.
 	HeaderLoad = "Jacinthgate-Load"
-	// HeaderTypical carries what requests of the same kind take on average at the
+	// HeaderTypical carries the mean service time of the request's workload at the
 	// gate's backend server, in microseconds.
 	HeaderTypical = "Jacinthgate-Typical-Micros"
-	// HeaderServedBy names the node whose backend server answered.
+	// HeaderServedBy names the node whose backend server has sent the response.
 	HeaderServedBy = "Jacinthgate-Served-By"
-	// HeaderInstance names the start of the backend server that the entry proxy
-	// meant; another one refuses the request.
+	// HeaderInstance names the instance of the backend server that the entry proxy
+	// has chosen. The gate refuses the request if another instance runs.
 	HeaderInstance = "Jacinthgate-Instance"
-	// HeaderCaller names the service of the host where the request began.
+	// HeaderCaller names the service of the host that the request comes from.
 	HeaderCaller = "Jacinthgate-Caller"
 	// HeaderUrgency carries the request's Urgency.
 	HeaderUrgency = "Jacinthgate-Urgency"
-	// HeaderLinkWait carries how long a large answer may wait for the link of the
+	// HeaderLinkWait carries how long a large response may wait for the link of the
 	// gate's host, in milliseconds.
 	HeaderLinkWait = "Jacinthgate-Link-Wait"
-	// HeaderLinkBacklog carries how long the link of the gate's host is busy with
-	// large answers, in milliseconds, where a request is refused for that.
+	// HeaderLinkBacklog carries the time that the link of the gate's host needs for its
+	// backlog of large responses, in milliseconds. It is set if a request is refused
+	// because of that backlog.
 	HeaderLinkBacklog = "Jacinthgate-Link-Backlog"
-	// HeaderFingerprint carries the fingerprint of what the request asks for.
+	// HeaderFingerprint carries the fingerprint of the request, by which requests that
+	// crash backend servers are recognised.
 	HeaderFingerprint = "Jacinthgate-Fingerprint"
-	// HeaderStartWithin carries within how many milliseconds the request must be handed
-	// to the backend server: the proof that its caller's key holds ends then.
+	// HeaderStartWithin carries the time, in milliseconds, within which the request must
+	// be sent to the backend server. After it, the proof that the caller's key is valid
+	// has expired.
 	HeaderStartWithin = "Jacinthgate-Start-Within"
 	// HeaderQuota marks a message between nodes about the quotas of organisations.
 	HeaderQuota = "Jacinthgate-Quota"
-	// HeaderElsewhere is "1" on a request that the gate may refuse since its host is slow
-	// at this moment: the entry node then sends it to another backend server.
+	// HeaderElsewhere is "1" on a request that the gate may refuse because its host is
+	// currently slow. The entry node then reroutes it to another backend server.
 	HeaderElsewhere = "Jacinthgate-Elsewhere"
-	// HeaderReached is "1" on a gate's response when the request was sent to
-	// the backend server, whatever came of it.
+	// HeaderReached is "1" on a gate's response if the request was sent to the backend
+	// server, whatever the result.
 	HeaderReached = "Jacinthgate-Reached"
-	// HeaderRepeat is "1" on a request that has reached a backend server before: the calls
-	// that this run makes count as repeats too.
+	// HeaderRepeat is "1" on a request that has reached a backend server before, and on
+	// the nested calls of such a request, which count as repeats too.
 	HeaderRepeat = "Jacinthgate-Repeat"
-	// HeaderStrain carries on a gate's response which part of the bound on repeats is taken
-	// at the service that repeated runs on its host call, in percent; without it they call
-	// none.
+	// HeaderStrain carries, on a gate's response, the percentage of the retry budget that
+	// is in use at the service called by repeated runs on the gate's host; of several
+	// such services, at the one with the highest usage. It is absent if there are none.
 	HeaderStrain = "Jacinthgate-Strain"
-	// HeaderAsked is "1" on a request whose Expect header was added by the entry node: the
-	// body follows once the gate has a slot for it.
+	// HeaderAsked is "1" on a request whose Expect header was added by the entry node,
+	// which sends the body once the gate has a slot for the request.
 	HeaderAsked = "Jacinthgate-Asked"
 	// HeaderIdempotencyKey is the caller's key of a request that must run at
 	// most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderReplayed is "1" on an answer that an earlier request with the same
-	// Idempotency-Key was given.
+	// HeaderReplayed is "1" on the stored response to an earlier request with the same
+	// Idempotency-Key.
 	HeaderReplayed = "Jacinthgate-Replayed"
 )
 
@@ -101,37 +108,37 @@
 
 // The reasons.
 const (
-	ReasonNotReady         Reason = "not-ready"         // the node holds no whole version yet
-	ReasonLeaving          Reason = "leaving"           // the node ends before the request's deadline
-	ReasonNoOrganisation   Reason = "no-organisation"   // no contract has this host
+	ReasonNotReady         Reason = "not-ready"         // the node holds no full version yet
+	ReasonLeaving          Reason = "leaving"           // the node shuts down before the request's deadline
+	ReasonNoOrganisation   Reason = "no-organisation"   // no contract lists the request's host name
 	ReasonNoRoute          Reason = "no-route"          // the contract has no matching route
 	ReasonUnknownKey       Reason = "unknown-key"       // no organisation holds the caller's key
-	ReasonUnproved         Reason = "unproved"          // the configuration isn't proved to be current
-	ReasonNoEndpoint       Reason = "no-endpoint"       // no backend server may take the request
+	ReasonUnproved         Reason = "unproved"          // there is no valid proof that the configuration is current
+	ReasonNoEndpoint       Reason = "no-endpoint"       // no backend server is available for the request
 	ReasonRateLimited      Reason = "rate-limited"      // the contract's rate is used up
 	ReasonConcurrency      Reason = "concurrency"       // the contract's concurrency is used up
-	ReasonShed             Reason = "shed"              // overload; the least important first
+	ReasonShed             Reason = "shed"              // load shedding under overload, least important requests first
 	ReasonQueueFull        Reason = "queue-full"        // the gate's queue is full
-	ReasonHostSlow         Reason = "host-slow"         // the host is slow at this moment, and others may not be
-	ReasonLinkFull         Reason = "link-full"         // the host's link is full of large answers
+	ReasonHostSlow         Reason = "host-slow"         // the host is currently slow; others may not be
+	ReasonLinkFull         Reason = "link-full"         // the host's link has a backlog of large responses
 	ReasonDeadline         Reason = "deadline"          // the deadline has passed or can't be met
-	ReasonDraining         Reason = "draining"          // the backend server is leaving
+	ReasonDraining         Reason = "draining"          // the backend server is being taken out of service
 	ReasonWrongService     Reason = "wrong-service"     // the host offers another service
 	ReasonLoop             Reason = "loop"              // too many hops
-	ReasonPlatform         Reason = "platform"          // the platform is away and the class needs it
-	ReasonInProgress       Reason = "in-progress"       // the same key is running
-	ReasonKeyReused        Reason = "key-reused"        // the key belongs to another request
-	ReasonOutcomeLost      Reason = "outcome-lost"      // the key may have run; it never runs again
-	ReasonAnswerNotKept    Reason = "answer-not-kept"   // the key has run; its answer was too large to keep
-	ReasonBackendFailed    Reason = "backend-failed"    // the connection broke after the request was sent
-	ReasonBackendRefused   Reason = "backend-refused"   // the backend server refused before running
-	ReasonQuarantined      Reason = "quarantined"       // backend servers have crashed under such requests
-	ReasonWithdrawn        Reason = "withdrawn"         // the backend server is of a version that gets nothing
+	ReasonPlatform         Reason = "platform"          // the platform is unavailable and the class needs it
+	ReasonInProgress       Reason = "in-progress"       // a request with the same idempotency key is running
+	ReasonKeyReused        Reason = "key-reused"        // the idempotency key was used for a different request
+	ReasonOutcomeLost      Reason = "outcome-lost"      // the request with this key may have run; it never runs again
+	ReasonAnswerNotKept    Reason = "answer-not-kept"   // the request with this key has run; its response was too large to store
+	ReasonBackendFailed    Reason = "backend-failed"    // the connection was lost after the request was sent
+	ReasonBackendRefused   Reason = "backend-refused"   // the backend server refused the request before running it
+	ReasonQuarantined      Reason = "quarantined"       // requests like this one have crashed backend servers
+	ReasonWithdrawn        Reason = "withdrawn"         // the backend server runs a withdrawn version, which receives no requests
 	ReasonEvacuated        Reason = "evacuated"         // the backend server's availability zone is evacuated
 	ReasonNoRegion         Reason = "no-region"         // no backend server in the regions to which the request is confined
 	ReasonRouteFault       Reason = "route-fault"       // the route's configuration can't be used
-	ReasonMalformed        Reason = "malformed"         // the request can't be understood
+	ReasonMalformed        Reason = "malformed"         // the request is malformed
 	ReasonTooLarge         Reason = "too-large"         // headers exceed the limit
 	ReasonOlderUnreachable Reason = "older-unreachable" // the older system did not accept the connection
-	ReasonCancelled        Reason = "cancelled"         // the caller went away
+	ReasonCancelled        Reason = "cancelled"         // the caller has disconnected
 )
--- a/protocol/outcome/urgency.go
+++ b/protocol/outcome/urgency.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Urgency is what a gate needs to order a request among others.
+// Urgency is what a gate's queue orders requests by.
 type Urgency struct {
-	// Left is the time until the answer is due; 0 when it is late already.
+	// Left is the time until the request's deadline; 0 if it has passed.
 	Left time.Duration
-	// Target is the time in which such requests should be answered.
+	// Target is the target latency of requests of this class.
 	Target time.Duration
 	// Rank is the request's importance; 0 is the most important.
 	Rank int
 }
 
-// UrgencyError reports an urgency header that can't be read.
+// UrgencyError reports an urgency header that can't be parsed.
 type UrgencyError struct {
 	// Found is the header's value.
 	Found string
@@ -38,7 +38,7 @@
 	return string(strconv.AppendInt(text, int64(u.Rank), 10))
 }
 
-// ParseUrgency reads the value of HeaderUrgency. The error is an *UrgencyError.
+// ParseUrgency parses the value of HeaderUrgency. The error is an *UrgencyError.
 func ParseUrgency(s string) (Urgency, error) {
 	left, rest, _ := strings.Cut(s, "/")
 	target, rank, _ := strings.Cut(rest, "/")
