--- a/coordination/distribute/answer_test.go
+++ b/coordination/distribute/answer_test.go
@@ -24,7 +24,7 @@
 		for _, id := range []model.NodeID{"p1", "p2"} {
 			r := endpoint.Record{Node: id, Zone: "zone-0"}
 			s.step(0, core.PeerUp{Record: r, Held: v.Ref(), Ready: true})
-			s.receive(0, id, &message.Advert{Held: v.Ref(), Ready: true, Answer: true, LastHeld: remembered})
+			s.receive(0, id, &message.Advert{Held: v.Ref(), Ready: true, HasLastHeld: true, LastHeld: remembered})
 		}
 		s.receive(0, "p1", fullMessage(t, v))
 		s.idle(time.Second)
@@ -45,7 +45,7 @@
 			if !isSend {
 				continue
 			}
-			if m, isAdvert := send.Message.(*message.Advert); isAdvert && m.Answer {
+			if m, isAdvert := send.Message.(*message.Advert); isAdvert && m.HasLastHeld {
 				must.Eq(t, 4, m.LastHeld)
 				answers++
 			}
--- a/coordination/distribute/peers.go
+++ b/coordination/distribute/peers.go
@@ -114,7 +114,7 @@
 	p.recordHead(c.held.Ref())
 	m := &message.Advert{Held: c.held.Ref(), Ready: c.ready}
 	if !p.ready {
-		m.Answer = true
+		m.HasLastHeld = true
 		m.LastHeld = c.LastHeldOf(p.id())
 	}
 	c.send(p.id(), message.Urgent, m)
@@ -140,7 +140,7 @@
 	p.ready = m.Ready
 	c.heldVersions.update(now, p.id().Key(), m.Held.Version)
 	c.raiseHead(now, m.Held)
-	if m.Answer {
+	if m.HasLastHeld {
 		p.answered = true
 		c.join.minFromPeers = max(c.join.minFromPeers, m.LastHeld)
 	}
--- a/protocol/message/message.go
+++ b/protocol/message/message.go
@@ -111,8 +111,8 @@
 	Held snapshot.Ref `cbor:"1,keyasint"`
 	// Ready is true if the sender serves requests with that version.
 	Ready bool `cbor:"2,keyasint,omitempty"`
-	// Answer is true if LastHeld is set, as it is for peers that are not ready.
-	Answer bool `cbor:"3,keyasint,omitempty"`
+	// HasLastHeld is true if LastHeld is set, as it is for peers that are not ready.
+	HasLastHeld bool `cbor:"3,keyasint,omitempty"`
 	// LastHeld is the newest version that the sender has recorded the receiver to
 	// have held; 0 if it has no record.
 	LastHeld uint64 `cbor:"4,keyasint,omitempty"`
--- a/protocol/outcome/outcome.go
+++ b/protocol/outcome/outcome.go
@@ -51,9 +51,9 @@
 	// time in microseconds, and the host's current slowdown in percent. The last two may
 	// be omitted.
 	HeaderLoad = "Jacinthgate-Load"
-	// HeaderTypical carries the mean service time of the request's workload at the
+	// HeaderMeanServiceTime carries the mean service time of the request's workload at the
 	// gate's backend server, in microseconds.
-	HeaderTypical = "Jacinthgate-Typical-Micros"
+	HeaderMeanServiceTime = "Jacinthgate-Typical-Micros"
 	// HeaderServedBy names the node whose backend server has sent the response.
 	HeaderServedBy = "Jacinthgate-Served-By"
 	// HeaderInstance names the instance of the backend server that the entry proxy
@@ -79,22 +79,22 @@
 	HeaderStartWithin = "Jacinthgate-Start-Within"
 	// HeaderQuota marks a message between nodes about the quotas of organisations.
 	HeaderQuota = "Jacinthgate-Quota"
-	// HeaderElsewhere is "1" on a request that the gate may refuse because its host is
+	// HeaderReroutable is "1" on a request that the gate may refuse because its host is
 	// currently slow. The entry node then reroutes it to another backend server.
-	HeaderElsewhere = "Jacinthgate-Elsewhere"
+	HeaderReroutable = "Jacinthgate-Elsewhere"
 	// HeaderReached is "1" on a gate's response if the request was sent to the backend
 	// server, whatever the result.
 	HeaderReached = "Jacinthgate-Reached"
 	// HeaderRepeat is "1" on a request that has reached a backend server before, and on
 	// the nested calls of such a request, which count as repeats too.
 	HeaderRepeat = "Jacinthgate-Repeat"
-	// HeaderStrain carries, on a gate's response, the percentage of the retry budget that
+	// HeaderBudgetUsage carries, on a gate's response, the percentage of the retry budget that
 	// is in use at the service called by repeated runs on the gate's host; of several
 	// such services, at the one with the highest usage. It is absent if there are none.
-	HeaderStrain = "Jacinthgate-Strain"
-	// HeaderAsked is "1" on a request whose Expect header was added by the entry node,
+	HeaderBudgetUsage = "Jacinthgate-Strain"
+	// HeaderExpectAdded is "1" on a request whose Expect header was added by the entry node,
 	// which sends the body once the gate has a slot for the request.
-	HeaderAsked = "Jacinthgate-Asked"
+	HeaderExpectAdded = "Jacinthgate-Asked"
 	// HeaderIdempotencyKey is the caller's key of a request that must run at
 	// most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
--- a/transport/forward/node_header.go
+++ b/transport/forward/node_header.go
@@ -17,7 +17,7 @@
 	outcome.HeaderKind,
 	outcome.HeaderService,
 	outcome.HeaderLoad,
-	outcome.HeaderTypical,
+	outcome.HeaderMeanServiceTime,
 	outcome.HeaderServedBy,
 	outcome.HeaderOutcome,
 	outcome.HeaderReason,
@@ -25,12 +25,12 @@
 	outcome.HeaderCaller,
 	outcome.HeaderUrgency, outcome.HeaderLinkWait, outcome.HeaderLinkBacklog,
 	outcome.HeaderReached,
-	outcome.HeaderElsewhere,
+	outcome.HeaderReroutable,
 	outcome.HeaderFingerprint,
 	outcome.HeaderStartWithin,
 	outcome.HeaderQuota,
 	outcome.HeaderRepeat,
-	outcome.HeaderStrain,
+	outcome.HeaderBudgetUsage,
 }
 
 // StripNodeHeaders removes the headers that only nodes may set from h.
--- a/transport/inbound/answer.go
+++ b/transport/inbound/answer.go
@@ -58,6 +58,6 @@
 	load := balance.Load{Used: l.Used, Slots: max(1, l.Slots), Queued: l.Queued, MeanServiceTime: g.core.MeanServiceTime(), Slowdown: g.slowdown()}
 	h[outcome.HeaderLoad] = []string{load.String()}
 	if s := g.cfg.BudgetUsage(g.cfg.Now()); s > 0 {
-		h[outcome.HeaderStrain] = []string{strconv.Itoa(s.Percent())}
+		h[outcome.HeaderBudgetUsage] = []string{strconv.Itoa(s.Percent())}
 	}
 }
--- a/transport/inbound/check.go
+++ b/transport/inbound/check.go
@@ -78,7 +78,7 @@
 	if c.Organisation = h.Get(outcome.HeaderOrganisation); c.Organisation != "" {
 		c.Weight = g.cfg.Weight(c.Organisation)
 	}
-	c.Reroutable = h[outcome.HeaderElsewhere] != nil
+	c.Reroutable = h[outcome.HeaderReroutable] != nil
 	c.fingerprint, err = crash.Fingerprint(req)
 	return err == nil
 }
--- a/transport/inbound/gate.go
+++ b/transport/inbound/gate.go
@@ -194,7 +194,7 @@
 	defer g.serving.Add(-1)
 	body, stream := g.body(w, r)
 	in := forward.NewRequest(r.Context(), r, "http", "", body, r.ContentLength)
-	if in.Header[outcome.HeaderAsked] != nil {
+	if in.Header[outcome.HeaderExpectAdded] != nil {
 		delete(in.Header, "Expect") // reading the body sends 100 Continue
 		t := g.awaitTurn(r)
 		if t == nil {
@@ -221,7 +221,7 @@
 	switch {
 	case r.ContentLength == 0:
 		return r.Body, nil
-	case r.ContentLength < 0 || r.ContentLength > maxBufferedRequest || r.Header[outcome.HeaderAsked] != nil:
+	case r.ContentLength < 0 || r.ContentLength > maxBufferedRequest || r.Header[outcome.HeaderExpectAdded] != nil:
 		stream := forward.NewStreamBody(w, r)
 		return stream, stream
 	}
--- a/transport/inbound/learn_test.go
+++ b/transport/inbound/learn_test.go
@@ -32,6 +32,6 @@
 		must.NoError(t, err)
 		must.NoError(t, resp.Body.Close())
 		must.Eq(t, "1/2/0", resp.Header.Get(outcome.HeaderLoad))
-		must.Eq(t, "", resp.Header.Get(outcome.HeaderTypical))
+		must.Eq(t, "", resp.Header.Get(outcome.HeaderMeanServiceTime))
 	})
 }
--- a/transport/inbound/receive_test.go
+++ b/transport/inbound/receive_test.go
@@ -29,7 +29,7 @@
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
 	head := http.Header{
-		outcome.HeaderAsked: {"1"}, "Expect": {"100-continue"}, outcome.HeaderKind: {string(model.KindUpload)},
+		outcome.HeaderExpectAdded: {"1"}, "Expect": {"100-continue"}, outcome.HeaderKind: {string(model.KindUpload)},
 		outcome.HeaderService: {"s"}, outcome.HeaderInstance: {instance}, outcome.HeaderDeadline: {strconv.FormatInt(uploadTime.Milliseconds(), 10)},
 		outcome.HeaderUrgency: {outcome.Urgency{Left: uploadTime, Target: uploadTime}.String()}, "Content-Length": {strconv.Itoa(bytes)},
 	}
--- a/transport/inbound/repeat_test.go
+++ b/transport/inbound/repeat_test.go
@@ -93,6 +93,6 @@
 		must.Eq(t, repeat, registered)
 		must.Eq(t, "", header, must.Sprint("the backend server must not get the header"))
 		must.False(t, runs.Call(until))
-		must.Eq(t, "13", w.Header().Get(outcome.HeaderStrain))
+		must.Eq(t, "13", w.Header().Get(outcome.HeaderBudgetUsage))
 	}
 }
--- a/transport/inbound/send.go
+++ b/transport/inbound/send.go
@@ -79,7 +79,7 @@
 		}
 		g.stamp(h)
 		if meanServiceTime := g.core.Typical(c.Work); meanServiceTime > 0 {
-			h[outcome.HeaderTypical] = []string{strconv.FormatInt(meanServiceTime.Microseconds(), 10)}
+			h[outcome.HeaderMeanServiceTime] = []string{strconv.FormatInt(meanServiceTime.Microseconds(), 10)}
 		}
 		return resp
 	case dialect.Misdirected:
--- a/transport/outbound/body.go
+++ b/transport/outbound/body.go
@@ -101,7 +101,7 @@
 		return // set by the caller itself
 	}
 	h["Expect"] = expectValue
-	h[outcome.HeaderAsked] = gateExpectValue
+	h[outcome.HeaderExpectAdded] = gateExpectValue
 }
 
 // reclaim makes the body ready to be sent again. It reports false where part of a stream
--- a/transport/outbound/exchange.go
+++ b/transport/outbound/exchange.go
@@ -246,7 +246,7 @@
 	x.markRepeat(h)
 	x.replaceKey(h)
 	if x.mayReroute(to, now) {
-		h[outcome.HeaderElsewhere] = rerouteValue
+		h[outcome.HeaderReroutable] = rerouteValue
 	}
 	if x.route.Kind == model.KindUpload && x.body.needsContinue() && to.Node != x.p.cfg.Self {
 		x.expectContinue(h)
--- a/transport/outbound/repeat.go
+++ b/transport/outbound/repeat.go
@@ -37,7 +37,7 @@
 // observeBudgetUsage passes on to the retry budget how much of it the nested calls of
 // retries on the gate's host use, as the gate reports it in its response.
 func (x *exchange) observeBudgetUsage(h http.Header) {
-	percent, _, err := forward.HeaderInt(h, outcome.HeaderStrain)
+	percent, _, err := forward.HeaderInt(h, outcome.HeaderBudgetUsage)
 	if err != nil {
 		return // an invalid value is ignored
 	}
--- a/transport/outbound/repeat_test.go
+++ b/transport/outbound/repeat_test.go
@@ -43,7 +43,7 @@
 		status = http.StatusServiceUnavailable
 	}
 	if g.usage != "" {
-		h[outcome.HeaderStrain] = []string{g.usage}
+		h[outcome.HeaderBudgetUsage] = []string{g.usage}
 	}
 	return &http.Response{StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: h, Body: http.NoBody}, nil
 }
--- a/transport/outbound/slow_test.go
+++ b/transport/outbound/slow_test.go
@@ -23,7 +23,7 @@
 
 // RoundTrip implements http.RoundTripper.
 func (s *slowHosts) RoundTrip(req *http.Request) (*http.Response, error) {
-	reroutable := req.Header.Get(outcome.HeaderElsewhere) != ""
+	reroutable := req.Header.Get(outcome.HeaderReroutable) != ""
 	s.reroutable = append(s.reroutable, reroutable)
 	s.answer = func(int) (outcome.Outcome, outcome.Reason) {
 		if reroutable {
--- a/transport/outbound/take.go
+++ b/transport/outbound/take.go
@@ -55,7 +55,7 @@
 // reportedServiceTime returns the mean service time of such requests that the gate reports;
 // 0 where it reports none.
 func reportedServiceTime(h http.Header) time.Duration {
-	micros, given, err := forward.HeaderInt(h, outcome.HeaderTypical)
+	micros, given, err := forward.HeaderInt(h, outcome.HeaderMeanServiceTime)
 	if err != nil || !given {
 		return 0 // an older gate, or none: the request's own latency is used instead
 	}
