--- a/transport/quota/bed_test.go
+++ b/transport/quota/bed_test.go
@@ -20,54 +20,57 @@
 	"github.com/jacinthgate/jacinthgate/state/route"
 )
 
-var errLost = errors.New("lost")
+var errMessageLost = errors.New("message lost")
 
-// host is one node of a bed.
+// host is one node of a testBed.
 type host struct {
-	id      model.NodeID
-	zone    model.Zone
-	limiter *Limiter
-	tracker *quota.Tracker
-	table   *endpoint.Table
-	up      bool
-	runs    uint64 // its incarnation
-	side    bool   // of a split
+	id          model.NodeID
+	zone        model.Zone
+	limiter     *Limiter
+	tracker     *quota.Tracker
+	table       *endpoint.Table
+	up          bool
+	incarnation uint64 // incremented at each start
+	side        bool   // the node's side if the fleet is split: true in a third of each zone by default
 }
 
-// bed is a fleet in virtual time, to be used in a synctest bubble. Every node learns after
-// noticed what becomes of another one.
-type bed struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	arrivals *rand.Rand // of requests, where messages must not change them
+// testBed simulates a fleet in virtual time, in a synctest bubble. Membership detects failed or
+// unreachable nodes after detectionDelay.
+type testBed struct {
+	mu  sync.Mutex
+	rng *rand.Rand
+	// arrivals draws the arrivals of requests, if message loss must not change them; otherwise rng does.
+	arrivals *rand.Rand
 	cfg      quota.Config
 	hosts    []*host
 	byID     map[model.NodeID]*host
-	cut      model.Zone // can't reach others
-	alone    model.NodeID
-	split    bool // nodes in a third of each zone see each other only
-	loss     float64
-	messages int
-	limits   map[string]*route.Organisation
-	admitted map[string][]time.Time
-	asked    map[string]int
-	refused  map[string]int
-	after    []time.Duration
+	cutZone  model.Zone   // the zone that can't reach the others
+	isolated model.NodeID // the node that can't reach any other
+	// split is set while nodes reach only those on their own side.
+	split       bool
+	loss        float64 // probability that a message or response is lost
+	messages    int
+	limits      map[string]*route.Organisation
+	admitted    map[string][]time.Time
+	requested   map[string]int
+	refused     map[string]int
+	retryAfters []time.Duration
 }
 
 const (
-	oneWay     = 300 * time.Microsecond
-	zoneOneWay = 700 * time.Microsecond
-	noticed    = 1200 * time.Millisecond
-	startTakes = 250 * time.Millisecond
+	oneWayDelay          = 300 * time.Microsecond // of a message or response within a zone
+	crossZoneOneWayDelay = 700 * time.Microsecond
+	detectionDelay       = 1200 * time.Millisecond // until membership detects a failure
+	startDelay           = 250 * time.Millisecond  // until a started node has all records
 )
 
-func newBed(seed uint64, nodes int, organisations ...*route.Organisation) *bed {
-	b := &bed{
+// newTestBed starts a fleet in 3 zones, and returns once all nodes have received all records.
+func newTestBed(seed uint64, nodes int, organisations ...*route.Organisation) *testBed {
+	b := &testBed{
 		rng: rand.New(rand.NewPCG(seed, 1)), byID: make(map[model.NodeID]*host),
 		cfg:    quota.Config{Zones: 3, Window: 5 * time.Second, Over: 0.1, Slack: 20},
 		limits: make(map[string]*route.Organisation), admitted: make(map[string][]time.Time),
-		asked: make(map[string]int), refused: make(map[string]int),
+		requested: make(map[string]int), refused: make(map[string]int),
 	}
 	for _, o := range organisations {
 		b.limits[o.Name] = o
@@ -80,16 +83,16 @@
 	for _, h := range b.hosts {
 		b.start(h)
 	}
-	time.Sleep(startTakes + time.Second)
+	time.Sleep(startDelay + time.Second)
 	return b
 }
 
-// start starts a node, with nothing of what it held before. It learns the fleet in two
-// halves.
-func (b *bed) start(h *host) {
+// start starts a node without any state of its previous run. The node and the others receive
+// each other's records in two halves of the fleet.
+func (b *testBed) start(h *host) {
 	now := time.Now()
 	b.mu.Lock()
-	h.runs++
+	h.incarnation++
 	h.up = true
 	h.table = endpoint.NewTable()
 	h.tracker = quota.NewTracker(h.id, h.zone, now)
@@ -100,40 +103,41 @@
 	limits := b.limits
 	b.mu.Unlock()
 	h.limiter.SetOrganisations(limits)
-	b.learn(h, h)
+	b.observe(h, h)
 	go func() {
 		for part := range 2 {
-			time.Sleep(startTakes / 2)
+			time.Sleep(startDelay / 2)
 			for i, o := range b.hosts {
 				if i%2 == part {
-					b.learn(h, o)
-					b.learn(o, h)
+					b.observe(h, o)
+					b.observe(o, h)
 				}
 			}
 		}
 		for range 40 {
 			time.Sleep(100 * time.Millisecond)
-			b.update(h)
+			b.updateMembers(h)
 		}
 	}()
 }
 
-// learn tells a node what is true of another one.
-func (b *bed) learn(h, of *host) {
+// observe updates the record that a node holds of another one to its current state.
+func (b *testBed) observe(h, of *host) {
 	b.mu.Lock()
-	r := endpoint.Record{Node: of.id, Zone: of.zone, GateAddr: string(of.id), Incarnation: of.runs}
+	r := endpoint.Record{Node: of.id, Zone: of.zone, GateAddr: string(of.id), Incarnation: of.incarnation}
 	if !of.up || b.split && of.side != h.side {
 		r.Sequence = 1
 		r.Status, r.Died = endpoint.StatusFailed, time.Now().Unix()
 	}
-	if h.up && of.runs > 0 {
+	if h.up && of.incarnation > 0 {
 		h.table.Put(r)
 	}
 	b.mu.Unlock()
-	b.update(h)
+	b.updateMembers(h)
 }
 
-func (b *bed) update(h *host) {
+// updateMembers passes the members according to a node's records to its Limiter.
+func (b *testBed) updateMembers(h *host) {
 	b.mu.Lock()
 	if !h.up {
 		b.mu.Unlock()
@@ -144,93 +148,93 @@
 	limiter.SetMembers(m)
 }
 
-// kill ends nodes and starts them again after a while; 0 is never.
-func (b *bed) kill(back time.Duration, hosts ...*host) {
+// kill stops nodes and restarts them after a delay, or never if it is 0.
+func (b *testBed) kill(restartAfter time.Duration, hosts ...*host) {
 	b.mu.Lock()
 	for _, h := range hosts {
 		h.up = false
 	}
 	b.mu.Unlock()
-	if back > 0 {
-		time.AfterFunc(back, func() {
+	if restartAfter > 0 {
+		time.AfterFunc(restartAfter, func() {
 			for _, h := range hosts {
 				b.start(h)
 			}
 		})
 	}
-	time.AfterFunc(noticed, func() {
+	time.AfterFunc(detectionDelay, func() {
 		for _, h := range b.hosts {
 			for _, dead := range hosts {
-				b.learn(h, dead)
+				b.observe(h, dead)
 			}
 		}
 	})
 }
 
-// divide cuts a third of each zone off from the rest.
-func (b *bed) divide() {
-	b.locked(func() { b.split = true })
-	time.AfterFunc(noticed, func() {
+// partition splits the fleet into two sides, by default a third of each zone and the rest.
+func (b *testBed) partition() {
+	b.withLock(func() { b.split = true })
+	time.AfterFunc(detectionDelay, func() {
 		for _, h := range b.hosts {
 			for _, of := range b.hosts {
-				b.learn(h, of)
+				b.observe(h, of)
 			}
 		}
 	})
 }
 
-// configure changes the quotas at all nodes, spread over half a second.
-func (b *bed) configure(all ...*route.Organisation) {
+// configure changes the quotas on all nodes, one after the other over half a second.
+func (b *testBed) configure(all ...*route.Organisation) {
 	limits := make(map[string]*route.Organisation)
 	for _, o := range all {
 		limits[o.Name] = o
 	}
-	b.locked(func() { b.limits = limits })
+	b.withLock(func() { b.limits = limits })
 	for i, h := range b.hosts {
 		time.AfterFunc(time.Duration(i)*8*time.Millisecond, func() { h.limiter.SetOrganisations(limits) })
 	}
 }
 
-// caller sends messages of one node.
+// caller is the Caller of one node.
 type caller struct {
-	b    *bed
+	b    *testBed
 	from *host
 }
 
 // Call implements Caller.
-func (c caller) Call(ctx context.Context, to quota.Member, m *Message) (*Answer, error) {
+func (c caller) Call(ctx context.Context, to quota.Member, m *Message) (*Response, error) {
 	b := c.b
 	b.mu.Lock()
 	b.messages++
 	h := b.byID[to.Node]
-	delay := oneWay
+	delay := oneWayDelay
 	if h.zone != c.from.zone {
-		delay = zoneOneWay
+		delay = crossZoneOneWayDelay
 	}
-	cut := h.zone != c.from.zone && (h.zone == b.cut || c.from.zone == b.cut) || b.alone == h.id || b.alone == c.from.id ||
+	cut := h.zone != c.from.zone && (h.zone == b.cutZone || c.from.zone == b.cutZone) || b.isolated == h.id || b.isolated == c.from.id ||
 		b.split && h.side != c.from.side
-	there, back := b.rng.Float64() >= b.loss && !cut, b.rng.Float64() >= b.loss
+	requestArrives, responseArrives := b.rng.Float64() >= b.loss && !cut, b.rng.Float64() >= b.loss
 	up, limiter := h.up, h.limiter
 	b.mu.Unlock()
-	if !there {
+	if !requestArrives {
 		<-ctx.Done()
-		return nil, errLost
+		return nil, errMessageLost
 	}
 	time.Sleep(delay)
 	if !up {
 		return nil, syscall.ECONNREFUSED
 	}
-	a := limiter.Answer(ctx, m)
+	a := limiter.HandleMessage(ctx, m)
 	time.Sleep(delay)
-	if !back || ctx.Err() != nil {
+	if !responseArrives || ctx.Err() != nil {
 		<-ctx.Done()
-		return nil, errLost
+		return nil, errMessageLost
 	}
 	return a, nil
 }
 
-// send lets one request of an organisation come to a node.
-func (b *bed) send(h *host, name string, late bool) {
+// sendRequest sends one request of an organisation to a node.
+func (b *testBed) sendRequest(h *host, name string, late bool) {
 	b.mu.Lock()
 	up, limiter, o := h.up, h.limiter, b.limits[name]
 	b.mu.Unlock()
@@ -240,18 +244,18 @@
 	after, ok := limiter.Take(context.Background(), o, late)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.asked[name]++
+	b.requested[name]++
 	if ok {
 		b.admitted[name] = append(b.admitted[name], time.Now())
 		return
 	}
 	b.refused[name]++
-	b.after = append(b.after, after)
+	b.retryAfters = append(b.retryAfters, after)
 }
 
-// demand sends requests at a rate to some nodes until a moment has passed, as a Poisson
-// process.
-func (b *bed) demand(name string, perSecond float64, d time.Duration, hosts ...*host) {
+// sendRequests sends requests of an organisation to randomly chosen nodes for the duration d, as a
+// Poisson process.
+func (b *testBed) sendRequests(name string, perSecond float64, d time.Duration, hosts ...*host) {
 	end := time.Now().Add(d)
 	rng := cmp.Or(b.arrivals, b.rng)
 	for {
@@ -263,23 +267,24 @@
 		if time.Now().After(end) {
 			return
 		}
-		go b.send(h, name, false)
+		go b.sendRequest(h, name, false)
 	}
 }
 
-func (b *bed) locked(f func()) {
+func (b *testBed) withLock(f func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f()
 }
 
-func (b *bed) zone(name model.Zone) []*host {
+// zone returns the nodes of an availability zone.
+func (b *testBed) zone(name model.Zone) []*host {
 	return slices.DeleteFunc(slices.Clone(b.hosts), func(h *host) bool { return h.zone != name })
 }
 
-// worst returns the most requests of an organisation in any window, of those from a moment
-// on. The bed must be locked.
-func (b *bed) worst(name string, from time.Time) int {
+// maxInWindow returns the maximum number of requests of an organisation that were admitted in any
+// window, counting those since the time from. The caller must hold b.mu.
+func (b *testBed) maxInWindow(name string, from time.Time) int {
 	at := slices.DeleteFunc(slices.Clone(b.admitted[name]), func(t time.Time) bool { return t.Before(from) })
 	slices.SortFunc(at, time.Time.Compare)
 	most, first := 0, 0
--- a/transport/quota/changed_test.go
+++ b/transport/quota/changed_test.go
@@ -13,21 +13,23 @@
 	"github.com/jacinthgate/jacinthgate/state/route"
 )
 
-// slow is a Caller whose answers come after a while and give what is needed.
-type slow struct{}
+// slowCaller is a Caller that responds after slowResponseTime and grants as many tokens as needed.
+type slowCaller struct{}
 
-// slowAnswer is below the time that a call may take.
-const slowAnswer = 50 * time.Millisecond
+// slowResponseTime is less than callTimeout.
+const slowResponseTime = 50 * time.Millisecond
 
 // Call implements Caller.
-func (slow) Call(_ context.Context, _ quota.Member, m *Message) (*Answer, error) {
-	time.Sleep(slowAnswer)
-	return &Answer{Owned: true, Tokens: float64(m.Need)}, nil
+func (slowCaller) Call(_ context.Context, _ quota.Member, m *Message) (*Response, error) {
+	time.Sleep(slowResponseTime)
+	return &Response{Owned: true, Tokens: float64(m.Need)}, nil
 }
 
 type organisations = map[string]*route.Organisation
 
-func TestRequestThatWaitsForATokenOutlivesAChangeOfItsQuota(t *testing.T) {
+// A request that waits for a token gets it even if the organisation's quota is changed or removed
+// in the meantime.
+func TestQuotaChangeKeepsWaitingRequests(t *testing.T) {
 	for name, change := range map[string]func(name string) organisations{
 		"lower":  func(name string) organisations { return quotaOf(name, 1) },
 		"higher": func(name string) organisations { return quotaOf(name, 1000) },
@@ -38,20 +40,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l, of := elsewhere(t, slow{})
-				o := quotaOf(of, 10)
+				l, organisationName := newLimiterWithRemoteOwner(t, slowCaller{})
+				o := quotaOf(organisationName, 10)
 				l.SetOrganisations(o)
 				var all sync.WaitGroup
 				began := time.Now()
 				for range 6 {
 					all.Go(func() {
-						_, ok := l.Take(t.Context(), o[of], false)
+						_, ok := l.Take(t.Context(), o[organisationName], false)
 						must.True(t, ok)
-						must.LessEq(t, 2*slowAnswer, time.Since(began), must.Sprint("nobody waits for more than two rounds"))
+						must.LessEq(t, 2*slowResponseTime, time.Since(began), must.Sprint("a request waits for at most two rounds"))
 					})
 				}
-				time.Sleep(slowAnswer / 2)
-				l.SetOrganisations(change(of))
+				time.Sleep(slowResponseTime / 2)
+				l.SetOrganisations(change(organisationName))
 				all.Wait()
 			})
 		})
--- a/transport/quota/counts.go
+++ b/transport/quota/counts.go
@@ -7,26 +7,26 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// maxCounted is the number of organisations with counters of their own; the others share
-// those of "other".
-const maxCounted = 200
+// maxOrganisationCounters is the number of organisations that have counters of their own. All
+// further ones are counted together as "other", which bounds the number of metrics.
+const maxOrganisationCounters = 200
 
-// counts are a limiter's metrics.
-type counts struct {
-	set                              *metrics.Set
-	asks, lent, borrowed, evenShares *metrics.Counter
+// counters are the metrics of a Limiter.
+type counters struct {
+	set                                  *metrics.Set
+	messages, lent, borrowed, evenShares *metrics.Counter
 
 	mu   sync.Mutex
-	seen map[string]struct{}
+	seen map[string]struct{} // the organisations with counters of their own
 }
 
-// organisationCounts are the metrics of one organisation.
-type organisationCounts struct{ admitted, limited *metrics.Counter }
+// organisationCounters count the admitted and refused requests of one organisation.
+type organisationCounters struct{ admitted, limited *metrics.Counter }
 
-func newCounts(set *metrics.Set) *counts {
-	return &counts{
+func newCounters(set *metrics.Set) *counters {
+	return &counters{
 		set:        set,
-		asks:       set.GetOrCreateCounter("jacinthgate_quota_messages_total"),
+		messages:   set.GetOrCreateCounter("jacinthgate_quota_messages_total"),
 		lent:       set.GetOrCreateCounter("jacinthgate_quota_lent_total"),
 		borrowed:   set.GetOrCreateCounter("jacinthgate_quota_borrowed_total"),
 		evenShares: set.GetOrCreateCounter("jacinthgate_quota_even_share_total"),
@@ -34,17 +34,19 @@
 	}
 }
 
-func (c *counts) of(organisation string) organisationCounts {
+// forOrganisation returns the counters of an organisation, or those of "other" if there are
+// already maxOrganisationCounters.
+func (c *counters) forOrganisation(organisation string) organisationCounters {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, known := c.seen[organisation]; !known {
-		if len(c.seen) >= maxCounted {
+	if _, counted := c.seen[organisation]; !counted {
+		if len(c.seen) >= maxOrganisationCounters {
 			organisation = "other"
 		} else {
 			c.seen[organisation] = struct{}{}
 		}
 	}
-	return organisationCounts{
+	return organisationCounters{
 		admitted: c.set.GetOrCreateCounter(fmt.Sprintf("jacinthgate_quota_admitted_total{organisation=%q}", organisation)),
 		limited:  c.set.GetOrCreateCounter(fmt.Sprintf("jacinthgate_quota_limited_total{organisation=%q}", organisation)),
 	}
--- a/transport/quota/doc.go
+++ b/transport/quota/doc.go
@@ -1,4 +1,4 @@
-// Package quota carries the tokens of coordination/quota between nodes and lets requests in
-// by them. Messages go to the gate addresses of other nodes, told apart from requests by a
-// header that callers can't set.
+// Package quota enforces the quotas of organisations on a node's requests. It exchanges the
+// tokens of coordination/quota with other nodes in messages to their gate addresses. A header
+// that callers can't set distinguishes these messages from requests.
 package quota
--- a/transport/quota/limiter_test.go
+++ b/transport/quota/limiter_test.go
@@ -18,19 +18,20 @@
 	"github.com/jacinthgate/jacinthgate/state/route"
 )
 
-// answers is a Caller that answers all messages alike, and counts them.
-type answers struct {
-	answer *Answer
-	err    error
-	calls  int
+// fixedCaller is a Caller that returns the same response or error for all messages, and counts them.
+type fixedCaller struct {
+	response *Response
+	err      error
+	calls    int
 }
 
 // Call implements Caller.
-func (a *answers) Call(context.Context, quota.Member, *Message) (*Answer, error) {
+func (a *fixedCaller) Call(context.Context, quota.Member, *Message) (*Response, error) {
 	a.calls++
-	return a.answer, a.err
+	return a.response, a.err
 }
 
+// membersOf returns n0's view of the given nodes in zone z, which has settled.
 func membersOf(nodes ...string) *quota.Members {
 	records := endpoint.NewTable()
 	for _, n := range nodes {
@@ -39,8 +40,8 @@
 	return quota.NewTracker("n0", "z", time.Now().Add(-time.Minute)).Update(time.Now(), records)
 }
 
-// elsewhere returns n0's Limiter, and the name of an organisation that n1 owns the ledger of.
-func elsewhere(t *testing.T, c Caller) (*Limiter, string) {
+// newLimiterWithRemoteOwner returns n0's Limiter, and the name of an organisation whose ledger n1 owns.
+func newLimiterWithRemoteOwner(t *testing.T, c Caller) (*Limiter, string) {
 	t.Helper()
 	l := New(Config{
 		Self: "n0", Zone: "z", Bounds: quota.Config{Zones: 1, Window: 5 * time.Second, Slack: 20},
@@ -54,29 +55,31 @@
 			return l, name
 		}
 	}
-	t.Fatal("n1 owns nothing")
+	t.Fatal("n1 owns the ledger of none of 100 organisations")
 	return nil, ""
 }
 
+// quotaOf returns a configuration with one organisation that has a quota.
 func quotaOf(name string, perSecond float64) map[string]*route.Organisation {
 	return map[string]*route.Organisation{name: {Name: name, Quota: &model.Rate{PerSecond: perSecond, Burst: 10}}}
 }
 
-// That an asker has gone says nothing about the owner that it was asked for.
-func TestAskerThatLeavesMakesNobodySuspect(t *testing.T) {
-	c := &answers{err: context.Canceled}
-	l, name := elsewhere(t, c)
+// If a call to the owner fails because its caller has cancelled, the owner doesn't become suspect.
+func TestCancelledCallMarksNoNodeSuspect(t *testing.T) {
+	c := &fixedCaller{err: context.Canceled}
+	l, name := newLimiterWithRemoteOwner(t, c)
 	l.SetOrganisations(quotaOf(name, 10))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	l.Answer(ctx, &Message{Kind: KindAcquire, Organisation: name, Need: 1})
+	l.HandleMessage(ctx, &Message{Kind: KindAcquire, Organisation: name, Need: 1})
 	must.Eq(t, 1, c.calls)
 	must.MapEmpty(t, l.suspects.nodes)
 }
 
-// Nodes that have left the fleet and organisations without a quota leave nothing behind.
-func TestNothingIsHeldOfWhatHasLeft(t *testing.T) {
-	l, name := elsewhere(t, &answers{err: errLost})
+// The state of nodes that have left the fleet, and the loans of organisations that no longer have a
+// quota, are dropped.
+func TestStateOfRemovedNodesAndQuotasIsDropped(t *testing.T) {
+	l, name := newLimiterWithRemoteOwner(t, &fixedCaller{err: errMessageLost})
 	l.SetOrganisations(quotaOf(name, 10))
 	l.Take(t.Context(), quotaOf(name, 10)[name], false)
 	must.MapLen(t, 1, l.suspects.nodes)
@@ -89,9 +92,9 @@
 	must.Eq(t, 0, held)
 }
 
-// An owner's answer gives no more than was asked for.
-func TestAnswerGivesNoMoreThanWasAsked(t *testing.T) {
-	l, name := elsewhere(t, &answers{answer: &Answer{Owned: true, Tokens: 1000}})
+// A node takes no more tokens from an owner's response than it requested.
+func TestGrantIsCappedAtRequestedTokens(t *testing.T) {
+	l, name := newLimiterWithRemoteOwner(t, &fixedCaller{response: &Response{Owned: true, Tokens: 1000}})
 	o := quotaOf(name, 10)
 	l.SetOrganisations(o)
 	_, ok := l.Take(t.Context(), o[name], false)
@@ -99,12 +102,12 @@
 	must.False(t, l.queue(o[name]).Lease.Take(time.Now()))
 }
 
-// A name that fits into no message is not sent, since its refusal would make the owner
+// A node sends no message with a name that is too long, since its rejection would make the owner
 // suspect for the other organisations too.
-func TestLongNameMakesNobodySuspect(t *testing.T) {
-	c := &answers{err: &StatusError{Status: 400}}
-	l, _ := elsewhere(t, c)
-	name := strings.Repeat("o", maxName+1)
+func TestOverlongNameMarksNoNodeSuspect(t *testing.T) {
+	c := &fixedCaller{err: &StatusError{Status: 400}}
+	l, _ := newLimiterWithRemoteOwner(t, c)
+	name := strings.Repeat("o", maxNameBytes+1)
 	o := quotaOf(name, 10)
 	l.SetOrganisations(o)
 	l.Take(t.Context(), o[name], false)
@@ -113,27 +116,28 @@
 	must.Error(t, (&Message{Kind: KindAcquire, Organisation: name}).check())
 }
 
-// A request that still holds the configuration before this one doesn't bring its quota back.
-func TestOldRequestBringsNoOldQuotaBack(t *testing.T) {
-	l, name := elsewhere(t, &answers{err: errLost})
+// A request that holds an older configuration doesn't restore the older quota.
+func TestRequestWithOldConfigurationKeepsNewQuota(t *testing.T) {
+	l, name := newLimiterWithRemoteOwner(t, &fixedCaller{err: errMessageLost})
 	l.SetOrganisations(quotaOf(name, 3))
 	q := l.queue(quotaOf(name, 300)[name])
 	must.Eq(t, 3, q.Request(time.Now(), name, 1).Rate.PerSecond)
 }
 
-// hangs is a Caller that answers nothing until it is given up.
-type hangs struct{}
+// hangingCaller is a Caller that never responds; its calls end with their context.
+type hangingCaller struct{}
 
 // Call implements Caller.
-func (hangs) Call(ctx context.Context, _ quota.Member, _ *Message) (*Answer, error) {
+func (hangingCaller) Call(ctx context.Context, _ quota.Member, _ *Message) (*Response, error) {
 	<-ctx.Done()
-	return nil, errLost
+	return nil, errMessageLost
 }
 
-// A request whose caller has left doesn't wait for the answer that others wait for.
-func TestCallerThatLeavesWaitsNoLonger(t *testing.T) {
+// A request stops waiting when its caller cancels it, while the call for the round is still in
+// progress.
+func TestCancelledRequestStopsWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, name := elsewhere(t, hangs{})
+		l, name := newLimiterWithRemoteOwner(t, hangingCaller{})
 		o := quotaOf(name, 10)
 		l.SetOrganisations(o)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
--- a/transport/quota/loan.go
+++ b/transport/quota/loan.go
@@ -8,19 +8,21 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// loanPause is for how long other zones aren't asked again that had nothing to lend.
+// loanPause is the time for which an owner requests no further loan after it received less than its
+// shortfall. It is also the Retry-After delay and spacing of a grant if no other zone assigned a slot.
 const loanPause = 100 * time.Millisecond
 
-// loan is the borrowing for one organisation: one call is under way at a time.
+// loan is the state of borrowing tokens for one organisation. At most one round of calls to the
+// other zones is in progress.
 type loan struct {
 	mu    sync.Mutex
-	done  chan struct{} // of the call under way; nil without one
-	pause time.Time     // until when other zones aren't asked
+	done  chan struct{} // closed when the round in progress ends; nil if there is none
+	pause time.Time     // no loan is requested before this time
 }
 
-// borrow asks the owners of the other zones for tokens and waits for them, or for those
-// that another request has asked for.
-func (l *Limiter) borrow(ctx context.Context, organisation string, rate model.Rate, lack float64) {
+// borrow requests tokens from the owners in the other zones and waits until they are added to the
+// ledger. If another request already borrows for the organisation, it waits for that loan instead.
+func (l *Limiter) borrow(ctx context.Context, organisation string, rate model.Rate, shortfall float64) {
 	v, ok := l.loans.Load(organisation)
 	if !ok {
 		v, _ = l.loans.LoadOrStore(organisation, new(loan))
@@ -42,43 +44,45 @@
 	done := make(chan struct{})
 	b.done = done
 	b.mu.Unlock()
-	got := l.askZones(ctx, organisation, rate, lack+l.ledger.Demand(l.cfg.Now(), organisation)*loanAhead.Seconds())
+	got := l.borrowFromZones(ctx, organisation, rate, shortfall+l.ledger.Demand(l.cfg.Now(), organisation)*loanLookahead.Seconds())
 	b.mu.Lock()
 	b.done = nil
-	if got < lack {
+	if got < shortfall {
 		b.pause = l.cfg.Now().Add(loanPause)
 	}
 	b.mu.Unlock()
 	close(done)
 }
 
-// loanAhead is for how much of its zone's use an owner borrows more than it lacks.
-const loanAhead = 40 * time.Millisecond
+// loanLookahead is the time for which an owner borrows in advance: besides its shortfall it requests
+// the tokens for its zone's demand over this time.
+const loanLookahead = 40 * time.Millisecond
 
-// askZones asks all other zones at the same time and enters what they give. It returns how
-// much that was.
-func (l *Limiter) askZones(ctx context.Context, organisation string, rate model.Rate, want float64) float64 {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), onwardTimeout)
+// borrowFromZones requests want tokens from each of the other zones concurrently, and from the
+// node's own deposit at the standby. It adds the received tokens to the ledger and returns their
+// number.
+func (l *Limiter) borrowFromZones(ctx context.Context, organisation string, rate model.Rate, want float64) float64 {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), nestedCallTimeout)
 	defer cancel()
 	members := l.members.Load()
-	answers := make(chan *Answer)
-	asked := 0
+	responses := make(chan *Response)
+	calls := 0
 	for zone := range members.Zones {
 		if zone == l.cfg.Zone {
 			continue
 		}
-		asked++
+		calls++
 		go func() {
-			answers <- l.askZone(ctx, zone, organisation, &Message{Kind: KindBorrow, Organisation: organisation, Want: want})
+			responses <- l.callZone(ctx, zone, organisation, &Message{Kind: KindBorrow, Organisation: organisation, Want: want})
 		}()
 	}
-	got := l.takeBack(ctx, organisation, rate, want)
-	for range asked {
-		if a := <-answers; a != nil && a.Owned {
+	got := l.reclaimDeposit(ctx, organisation, rate, want)
+	for range calls {
+		if a := <-responses; a != nil && a.Owned {
 			got += a.Tokens
 			l.ledger.Receive(l.cfg.Now(), organisation, rate, a.Tokens)
 		}
 	}
-	l.counts.borrowed.Add(int(got))
+	l.counters.borrowed.Add(int(got))
 	return got
 }
--- a/transport/quota/message.go
+++ b/transport/quota/message.go
@@ -8,25 +8,28 @@
 	"github.com/jacinthgate/jacinthgate/state/codec"
 )
 
-// Kind says what a message asks for.
+// Kind is the type of a Message.
 type Kind uint8
 
-// The kinds.
+// The kinds of messages.
 const (
-	// KindAcquire asks the owner of the zone's ledger for tokens.
+	// KindAcquire requests tokens from the owner of the zone's ledger.
 	KindAcquire Kind = iota + 1
-	// KindForward is KindAcquire that a standby hands on; it isn't handed on again.
+	// KindForward is a KindAcquire request that a node, usually the standby, forwards to the
+	// owner. It isn't forwarded again.
 	KindForward
-	// KindBorrow asks the owner of another zone's ledger, or a standby for what it holds of the
-	// owner's tokens.
+	// KindBorrow requests tokens from the owner of another zone's ledger, or from a standby, which
+	// lends them from the owner's deposit.
 	KindBorrow
-	// KindTransfer hands tokens over to the new owner of a ledger.
+	// KindTransfer transfers tokens to the new owner of a ledger.
 	KindTransfer
-	// KindDeposit leaves tokens with the standby; it answers how many it holds now.
+	// KindDeposit deposits tokens at the standby. The response contains the size of the deposit.
 	KindDeposit
 )
 
-// Message asks another node for tokens of an organisation, or gives some.
+// Message requests tokens of an organisation from another node, or transfers some to it. The
+// fields other than Kind, Organisation and Want are those of quota.Request, for KindAcquire and
+// KindForward.
 type Message struct {
 	Kind         Kind    `cbor:"1,keyasint"`
 	Organisation string  `cbor:"2,keyasint"`
@@ -35,30 +38,33 @@
 	Refused      int     `cbor:"5,keyasint,omitempty"`
 	Return       float64 `cbor:"6,keyasint,omitempty"`
 	Slots        int     `cbor:"8,keyasint,omitempty"`
-	// Want is how many tokens KindBorrow asks for, or KindTransfer and KindDeposit give.
+	// Want is the number of tokens that KindBorrow requests, or that KindTransfer and KindDeposit
+	// deliver.
 	Want float64 `cbor:"7,keyasint,omitempty"`
 }
 
-// Answer answers a Message.
-type Answer struct {
-	// Owned says that the node owns the ledger; otherwise nothing was done.
+// Response is the response to a Message.
+type Response struct {
+	// Owned reports whether the node handled the message as owner or standby of the ledger. If it
+	// is false, the message had no effect.
 	Owned bool `cbor:"1,keyasint"`
-	// Tokens is what the asker gets.
+	// Tokens is the number of tokens that the sender receives. In the response to KindDeposit it is
+	// the size of the deposit.
 	Tokens float64 `cbor:"2,keyasint,omitempty"`
-	// AfterMillis and SpacingMillis tell when more tokens come.
-	AfterMillis   int64 `cbor:"3,keyasint,omitempty"`
-	SpacingMillis int64 `cbor:"4,keyasint,omitempty"`
+	// RetryAfterMillis and SpacingMillis are quota.Grant's RetryAfter and Spacing in milliseconds.
+	RetryAfterMillis int64 `cbor:"3,keyasint,omitempty"`
+	SpacingMillis    int64 `cbor:"4,keyasint,omitempty"`
 }
 
 const (
-	// maxBody bounds a message, in bytes: a name and a few numbers.
-	maxBody = 1 << 10
-	// maxName bounds the name of an organisation in a message, in bytes.
-	maxName = 512
-	// maxTokens bounds the tokens of one message.
+	// maxMessageBytes bounds the size of a message, which holds a name and a few numbers.
+	maxMessageBytes = 1 << 10
+	// maxNameBytes bounds the length of an organisation's name in a message.
+	maxNameBytes = 512
+	// maxTokens bounds each number of tokens, requests or slots in a message.
 	maxTokens = 1 << 24
-	// maxWait bounds the times of an answer.
-	maxWait = time.Minute
+	// maxRetryAfter bounds the durations in a response.
+	maxRetryAfter = time.Minute
 )
 
 var (
@@ -66,9 +72,9 @@
 	decMode = codec.NewDecoder(codec.Limits{Elements: 16, Nesting: 4})
 )
 
-// MessageError reports a message that can't be read.
+// MessageError reports a message or response that is invalid or can't be read or encoded.
 type MessageError struct {
-	// Reason says what is wrong.
+	// Reason describes what is wrong.
 	Reason string
 	// Err is the cause; it may be nil.
 	Err error
@@ -85,40 +91,40 @@
 // Unwrap returns the cause.
 func (e *MessageError) Unwrap() error { return e.Err }
 
-// decode reads a bounded body into v. The error is a *MessageError.
+// decode reads and decodes a body of at most maxMessageBytes into v. The error is a *MessageError.
 func decode(r io.Reader, v any) error {
-	body, err := io.ReadAll(io.LimitReader(r, maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(r, maxMessageBytes+1))
 	switch {
 	case err != nil:
-		return &MessageError{Reason: "not read", Err: err}
-	case len(body) > maxBody:
-		return &MessageError{Reason: "too large"}
+		return &MessageError{Reason: "body could not be read", Err: err}
+	case len(body) > maxMessageBytes:
+		return &MessageError{Reason: "body is too large"}
 	}
 	if err := decMode.Unmarshal(body, v); err != nil {
-		return &MessageError{Reason: "not decoded", Err: err}
+		return &MessageError{Reason: "body could not be decoded", Err: err}
 	}
 	return nil
 }
 
-// check refuses numbers that no node sends.
+// check rejects a message with a value that no node sends. The error is a *MessageError.
 func (m *Message) check() error {
 	for _, n := range []float64{float64(m.Need), float64(m.Reserve), float64(m.Refused), float64(m.Slots), m.Return, m.Want} {
 		if !(n >= 0 && n <= maxTokens) {
-			return &MessageError{Reason: "a number is out of bounds"}
+			return &MessageError{Reason: "number out of range"}
 		}
 	}
-	if m.Kind < KindAcquire || m.Kind > KindDeposit || m.Organisation == "" || len(m.Organisation) > maxName {
-		return &MessageError{Reason: "no kind, or no organisation's name"}
+	if m.Kind < KindAcquire || m.Kind > KindDeposit || m.Organisation == "" || len(m.Organisation) > maxNameBytes {
+		return &MessageError{Reason: "invalid kind or organisation name"}
 	}
 	return nil
 }
 
-// check refuses numbers that no node sends.
-func (a *Answer) check() error {
+// check rejects a response with a number that no node sends. The error is a *MessageError.
+func (a *Response) check() error {
 	if !(a.Tokens >= 0 && a.Tokens <= maxTokens) || math.IsNaN(a.Tokens) ||
-		a.AfterMillis < 0 || a.AfterMillis > maxWait.Milliseconds() ||
-		a.SpacingMillis < 0 || a.SpacingMillis > maxWait.Milliseconds() {
-		return &MessageError{Reason: "a number is out of bounds"}
+		a.RetryAfterMillis < 0 || a.RetryAfterMillis > maxRetryAfter.Milliseconds() ||
+		a.SpacingMillis < 0 || a.SpacingMillis > maxRetryAfter.Milliseconds() {
+		return &MessageError{Reason: "number out of range"}
 	}
 	return nil
 }
--- a/transport/quota/owner.go
+++ b/transport/quota/owner.go
@@ -9,166 +9,171 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// ask asks the owner of the organisation's ledger, then the standby, then those of the other
-// zones. It returns false where none answers.
-func (l *Limiter) ask(ctx context.Context, r quota.Request) (quota.Grant, bool) {
-	if len(r.Organisation) > maxName {
+// acquire requests tokens from the owner of the organisation's ledger, then from the standby, then
+// from the other zones. It returns false if none of them responds.
+func (l *Limiter) acquire(ctx context.Context, r quota.Request) (quota.Grant, bool) {
+	if len(r.Organisation) > maxNameBytes {
 		return quota.Grant{}, false
 	}
-	first, second := l.members.Load().Owners(l.cfg.Zone, r.Organisation)
-	for _, to := range []quota.Member{first, second} {
-		var a *Answer
+	owner, standby := l.members.Load().Owners(l.cfg.Zone, r.Organisation)
+	for _, to := range []quota.Member{owner, standby} {
+		var a *Response
 		switch {
 		case to.Node == "":
 			continue
-		case to.Node == l.cfg.Self && to == first:
+		case to.Node == l.cfg.Self && to == owner:
 			a = l.serve(ctx, r)
 		case to.Node == l.cfg.Self:
-			a = l.relay(ctx, r, first, second)
+			a = l.relay(ctx, r, owner, standby)
 		case l.suspects.skipped(to.Node, l.cfg.Now()):
 			continue
 		default:
-			a = l.call(ctx, to, askMessage(KindAcquire, r))
+			a = l.call(ctx, to, newRequestMessage(KindAcquire, r))
 		}
 		if a != nil && a.Owned {
 			return a.grant(r), true
 		}
-		r.Return = 0 // it may have been taken
+		r.Return = 0 // the failed call may have delivered the returned tokens
 	}
-	return l.askElsewhere(ctx, r)
+	return l.acquireFromOtherZones(ctx, r)
 }
 
-func askMessage(kind Kind, r quota.Request) *Message {
+// newRequestMessage returns the message of the given kind for a request.
+func newRequestMessage(kind Kind, r quota.Request) *Message {
 	return &Message{
 		Kind: kind, Organisation: r.Organisation, Need: r.Need, Reserve: r.Reserve, Refused: r.Refused, Slots: r.Slots, Return: r.Return,
 	}
 }
 
-// request returns what a message asks for.
+// request returns the request for tokens that a message contains.
 func (m *Message) request(rate model.Rate) quota.Request {
 	return quota.Request{
 		Organisation: m.Organisation, Rate: rate, Need: m.Need, Reserve: m.Reserve, Refused: m.Refused, Slots: m.Slots, Return: m.Return,
 	}
 }
 
-// grant returns what an answer gives, no more than was asked for.
-func (a *Answer) grant(r quota.Request) quota.Grant {
+// grant returns the grant that a response contains, capped at the requested number of tokens.
+func (a *Response) grant(r quota.Request) quota.Grant {
 	return quota.Grant{
 		Tokens:     min(int(a.Tokens), r.Need+r.Reserve),
-		RetryAfter: time.Duration(a.AfterMillis) * time.Millisecond,
+		RetryAfter: time.Duration(a.RetryAfterMillis) * time.Millisecond,
 		Spacing:    time.Duration(a.SpacingMillis) * time.Millisecond,
 	}
 }
 
-// call sends a message; nil where no answer came.
-func (l *Limiter) call(ctx context.Context, to quota.Member, m *Message) *Answer {
-	l.counts.asks.Inc()
-	timeout := onwardTimeout
+// call sends a message to another node and returns the response, or nil if there is none. It records
+// whether the node responded.
+func (l *Limiter) call(ctx context.Context, to quota.Member, m *Message) *Response {
+	l.counters.messages.Inc()
+	timeout := nestedCallTimeout
 	if m.Kind == KindAcquire {
 		timeout = callTimeout
 	}
-	bounded, cancel := context.WithTimeout(ctx, timeout)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	a, err := l.cfg.Caller.Call(bounded, to, m)
+	a, err := l.cfg.Caller.Call(callCtx, to, m)
 	switch {
 	case err != nil && errors.Is(ctx.Err(), context.Canceled):
-		return nil // the asker has gone, which says nothing about the node that was called
+		return nil // the caller has cancelled, which is no evidence about the called node
 	case err != nil:
-		l.unreachable(to, err)
+		l.recordUnreachable(to, err)
 		return nil
 	}
 	l.suspects.clear(to.Node)
 	return a
 }
 
-// Answer answers another node's message.
-func (l *Limiter) Answer(ctx context.Context, m *Message) *Answer {
+// HandleMessage handles a message from another node and returns the response. It returns an empty
+// response if this node isn't responsible for the ledger or the organisation has no quota.
+func (l *Limiter) HandleMessage(ctx context.Context, m *Message) *Response {
 	rate, limited := (*l.quotas.Load())[m.Organisation]
 	if !limited {
-		return &Answer{}
+		return &Response{}
 	}
 	r := m.request(rate)
 	now := l.cfg.Now()
 	members := l.members.Load()
-	first, second := members.Owners(l.cfg.Zone, m.Organisation)
-	mine := first.Node == l.cfg.Self && members.MayOwn(now)
+	owner, standby := members.Owners(l.cfg.Zone, m.Organisation)
+	isOwner := owner.Node == l.cfg.Self && members.MayOwn(now)
 	switch m.Kind {
 	case KindAcquire:
-		if mine {
+		if isOwner {
 			return l.serve(ctx, r)
 		}
-		return l.relay(ctx, r, first, second)
+		return l.relay(ctx, r, owner, standby)
 	case KindForward:
-		if mine || second.Node == l.cfg.Self {
+		if isOwner || standby.Node == l.cfg.Self {
 			return l.serve(ctx, r)
 		}
 	case KindBorrow:
-		if mine {
+		if isOwner {
 			lent := l.ledger.Lend(now, r.Organisation, rate, m.Want)
-			l.counts.lent.Add(int(lent))
-			return &Answer{Owned: true, Tokens: lent}
+			l.counters.lent.Add(int(lent))
+			return &Response{Owned: true, Tokens: lent}
 		}
-		if second.Node == l.cfg.Self {
-			return &Answer{Owned: true, Tokens: l.ledger.LendDeposited(now, r.Organisation, m.Want)}
+		if standby.Node == l.cfg.Self {
+			return &Response{Owned: true, Tokens: l.ledger.LendDeposited(now, r.Organisation, m.Want)}
 		}
 	case KindTransfer:
-		if mine {
+		if isOwner {
 			l.ledger.Receive(now, r.Organisation, rate, m.Want)
-			return &Answer{Owned: true}
+			return &Response{Owned: true}
 		}
 	case KindDeposit:
-		if second.Node == l.cfg.Self {
-			return &Answer{Owned: true, Tokens: l.ledger.AcceptDeposit(now, r.Organisation, rate, m.Want)}
+		if standby.Node == l.cfg.Self {
+			return &Response{Owned: true, Tokens: l.ledger.AcceptDeposit(now, r.Organisation, rate, m.Want)}
 		}
 	}
-	return &Answer{}
+	return &Response{}
 }
 
-// relay forwards a request for tokens to the owner, or serves it as the standby of an owner that
-// is gone.
-func (l *Limiter) relay(ctx context.Context, r quota.Request, first, second quota.Member) *Answer {
-	if first.Node == "" || first.Node == l.cfg.Self {
-		return &Answer{}
+// relay forwards a request for tokens to the owner. If the owner doesn't respond and this node is
+// the standby, it serves the request from the deposit, or itself once it considers the owner gone.
+func (l *Limiter) relay(ctx context.Context, r quota.Request, owner, standby quota.Member) *Response {
+	if owner.Node == "" || owner.Node == l.cfg.Self {
+		return &Response{}
 	}
 	for range callsUntilGone {
-		if l.suspects.gone(first.Node, l.cfg.Now()) {
+		if l.suspects.gone(owner.Node, l.cfg.Now()) {
 			break
 		}
-		if a := l.call(ctx, first, askMessage(KindForward, r)); a != nil {
+		if a := l.call(ctx, owner, newRequestMessage(KindForward, r)); a != nil {
 			return a
 		}
-		if second.Node != l.cfg.Self || ctx.Err() != nil {
-			return &Answer{}
+		if standby.Node != l.cfg.Self || ctx.Err() != nil {
+			return &Response{}
 		}
 		if l.ledger.TakeDeposited(l.cfg.Now(), r.Organisation, r.Need) {
-			return &Answer{Owned: true, Tokens: float64(r.Need)}
+			return &Response{Owned: true, Tokens: float64(r.Need)}
 		}
 	}
-	if second.Node == l.cfg.Self && l.suspects.gone(first.Node, l.cfg.Now()) {
-		r.OwnerEnded = l.suspects.ended(first.Node, l.cfg.Now())
+	if standby.Node == l.cfg.Self && l.suspects.gone(owner.Node, l.cfg.Now()) {
+		r.OwnerEnded = l.suspects.ended(owner.Node, l.cfg.Now())
 		return l.serve(ctx, r)
 	}
-	return &Answer{}
+	return &Response{}
 }
 
-// serve gives tokens out of the own ledger, and asks other zones first where it is short.
-func (l *Limiter) serve(ctx context.Context, r quota.Request) *Answer {
+// serve grants tokens from this node's ledger. If the ledger has too few, it borrows from other
+// zones first.
+func (l *Limiter) serve(ctx context.Context, r quota.Request) *Response {
 	now := l.cfg.Now()
 	if !l.members.Load().MayOwn(now) {
-		return &Answer{}
+		return &Response{}
 	}
 	if rate, limited := (*l.quotas.Load())[r.Organisation]; limited {
 		r.Rate = rate
 	}
-	if lack := l.ledger.Shortfall(now, r); lack > 0 {
-		l.borrow(ctx, r.Organisation, r.Rate, lack)
+	if shortfall := l.ledger.Shortfall(now, r); shortfall > 0 {
+		l.borrow(ctx, r.Organisation, r.Rate, shortfall)
 	}
 	g := l.ledger.Acquire(l.cfg.Now(), r)
 	l.deposit(r.Organisation)
-	return &Answer{
-		Owned: true, Tokens: float64(g.Tokens), AfterMillis: millis(g.RetryAfter), SpacingMillis: millis(g.Spacing),
+	return &Response{
+		Owned: true, Tokens: float64(g.Tokens), RetryAfterMillis: millis(g.RetryAfter), SpacingMillis: millis(g.Spacing),
 	}
 }
 
-// millis rounds up, so that nobody comes back before there is a token.
+// millis converts a duration to milliseconds. It rounds up, so that no caller retries before its
+// token is issued.
 func millis(d time.Duration) int64 { return (d + time.Millisecond - 1).Milliseconds() }
--- a/transport/quota/suspects.go
+++ b/transport/quota/suspects.go
@@ -13,83 +13,89 @@
 )
 
 const (
-	// suspectTime is for how long a node that didn't answer isn't asked again.
+	// suspectTime is the time for which a failed call counts against a node. Each further failure
+	// extends it, a successful call ends it.
 	suspectTime = 500 * time.Millisecond
-	// lostCalls is how often in a row it must not have answered: one message may be lost.
-	lostCalls = 2
-	// silentTime and silentCalls are for how long and how often in a row a node must not
-	// have answered before another one issues in its place: lost messages alone are no
-	// reason, since the node issues on.
-	silentTime  = 150 * time.Millisecond
-	silentCalls = 3
-	// callsUntilGone is how many calls that take all of their time tell that a node is gone.
-	callsUntilGone = int(silentTime/onwardTimeout) + 1
+	// suspectCalls is the number of consecutive failed calls after which a node is called no
+	// more for suspectTime. It isn't 1, since a single message may be lost.
+	suspectCalls = 2
+	// goneTime and goneCalls are the duration and the number of consecutive failed calls after
+	// which a standby considers the owner gone and issues tokens in its place. Lost messages
+	// alone must not suffice, since the owner then continues to issue tokens as well.
+	goneTime  = 150 * time.Millisecond
+	goneCalls = 3
+	// callsUntilGone is the number of consecutive calls that must time out before a node is
+	// considered gone.
+	callsUntilGone = int(goneTime/nestedCallTimeout) + 1
 )
 
-// suspects are the nodes that didn't answer lately.
+// suspects tracks the nodes that failed to respond recently. It is safe for concurrent use.
 type suspects struct {
 	mu    sync.Mutex
-	nodes map[model.NodeID]silence
+	nodes map[model.NodeID]suspicion
 }
 
-// silence is what is known of a node that didn't answer.
-type silence struct {
+// suspicion records the consecutive failed calls to one node.
+type suspicion struct {
+	// since is the time of the first failure, until the time at which the suspicion expires.
 	since, until time.Time
-	calls        int
-	// refused says that nobody listens at its address.
-	refused bool
+	failedCalls  int
+	// connRefused is set if the last call failed since no process listens at the node's address.
+	connRefused bool
 }
 
-// skipped reports whether a node isn't asked now, since it didn't answer lately.
+// skipped reports whether a node isn't called at present, since recent calls to it failed.
 func (s *suspects) skipped(node model.NodeID, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.nodes[node]
-	return now.Before(n.until) && (n.refused || n.calls >= lostCalls)
+	return now.Before(n.until) && (n.connRefused || n.failedCalls >= suspectCalls)
 }
 
-// gone reports whether a node is held to be gone, so that another one acts in its place.
+// gone reports whether a node is considered gone, so that its standby issues tokens in its place.
 func (s *suspects) gone(node model.NodeID, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.nodes[node]
-	return now.Before(n.until) && (n.refused || n.calls >= silentCalls && now.Sub(n.since) >= silentTime)
+	return now.Before(n.until) && (n.connRefused || n.failedCalls >= goneCalls && now.Sub(n.since) >= goneTime)
 }
 
-// ended reports whether nobody listened at a node's address lately: what ran there has ended.
+// ended reports whether a node's process has ended: the last call failed recently, since no process
+// listened at its address.
 func (s *suspects) ended(node model.NodeID, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.nodes[node]
-	return now.Before(n.until) && n.refused
+	return now.Before(n.until) && n.connRefused
 }
 
+// clear removes the suspicion of a node that has responded.
 func (s *suspects) clear(node model.NodeID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.nodes, node)
 }
 
-// add notes that a node didn't answer, and reports whether that is news.
+// add records a failed call to a node, and reports whether the node wasn't suspected before.
 func (s *suspects) add(node model.NodeID, now time.Time, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.nodes == nil {
-		s.nodes = make(map[model.NodeID]silence)
+		s.nodes = make(map[model.NodeID]suspicion)
 	}
-	n, held := s.nodes[node]
-	if !held {
+	n, known := s.nodes[node]
+	if !known {
 		n.since = now
 	}
-	news := !now.Before(n.until)
-	n.calls++
+	isNew := !now.Before(n.until)
+	n.failedCalls++
 	n.until = now.Add(suspectTime)
-	n.refused = errors.Is(err, syscall.ECONNREFUSED)
+	n.connRefused = errors.Is(err, syscall.ECONNREFUSED)
 	s.nodes[node] = n
-	return news
+	return isNew
 }
 
-// retain forgets all nodes but the members. One that comes back begins anew.
+// retain drops the records of nodes that are no longer members. One that rejoins starts without any.
 func (s *suspects) retain(m *quota.Members) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,8 +115,9 @@
 	}
 }
 
-// unreachable notes that a node didn't answer. There is one log line for each suspectTime.
-func (l *Limiter) unreachable(to quota.Member, err error) {
+// recordUnreachable records a failed call to a node. It logs the failure unless the node is already
+// suspected.
+func (l *Limiter) recordUnreachable(to quota.Member, err error) {
 	if l.suspects.add(to.Node, l.cfg.Now(), err) {
 		_ = level.Warn(l.cfg.Logger).Log("event", "quota_owner_unreachable", "node", to.Node, "zone", to.Zone, "err", err)
 	}
--- a/transport/quota/wait.go
+++ b/transport/quota/wait.go
@@ -8,135 +8,140 @@
 	"github.com/jacinthgate/jacinthgate/coordination/quota"
 )
 
-// Bounds of a node's calls.
+// Timeouts of requests for tokens, and the Retry-After delay of a cancelled one.
 const (
-	// askTimeout bounds all that is done for a request that waits.
-	askTimeout = 300 * time.Millisecond
-	// callTimeout bounds a call to the owner of a ledger in the own zone: some round trips,
-	// and its own calls.
+	// acquireTimeout bounds a whole round of requesting tokens, including retries at the standby
+	// and in other zones.
+	acquireTimeout = 300 * time.Millisecond
+	// callTimeout bounds a call to the owner of a ledger in the node's zone: a few round trips,
+	// and the owner's own nested calls.
 	callTimeout = 100 * time.Millisecond
-	// onwardTimeout bounds the calls of an owner, and of its standby.
-	onwardTimeout = 40 * time.Millisecond
-	// leftAfter is when a caller should come back that has left while its request waited.
-	leftAfter = 100 * time.Millisecond
+	// nestedCallTimeout bounds the calls that an owner or its standby makes to handle a request.
+	nestedCallTimeout = 40 * time.Millisecond
+	// cancelledRetryAfter is the Retry-After delay of a request whose caller cancelled it while it
+	// waited.
+	cancelledRetryAfter = 100 * time.Millisecond
 )
 
 // waiter is a request that waits for a token.
 type waiter struct {
-	answer chan verdict
-	done   atomic.Bool // its caller has left, or it has its verdict
+	decision chan decision
+	done     atomic.Bool // its caller has cancelled it, or it has a decision
 }
 
-// verdict is what becomes of a request.
-type verdict struct {
-	ok    bool
-	after time.Duration
+// decision is the outcome of a waiting request: admitted, or the Retry-After delay of the refusal.
+type decision struct {
+	ok         bool
+	retryAfter time.Duration
 }
 
-// wait waits for the answer of the owner. Requests that come while it is asked are asked for
-// together afterwards.
+// wait queues a request for a token and waits for the decision. Tokens for requests that arrive
+// during a round are requested together in the next one.
 func (l *Limiter) wait(ctx context.Context, q *queue) (time.Duration, bool) {
-	w := &waiter{answer: make(chan verdict, 1)}
+	w := &waiter{decision: make(chan decision, 1)}
 	q.mu.Lock()
 	q.waiting = append(q.waiting, w)
-	lead := !q.asking
-	q.asking = true
+	leader := !q.requesting
+	q.requesting = true
 	q.mu.Unlock()
-	if lead {
-		go l.askRounds(q)
+	if leader {
+		go l.acquireRounds(q)
 	}
 	select {
-	case v := <-w.answer:
-		return v.after, v.ok
+	case v := <-w.decision:
+		return v.retryAfter, v.ok
 	case <-ctx.Done():
 	}
 	if w.done.CompareAndSwap(false, true) {
-		return leftAfter, false
+		return cancelledRetryAfter, false
 	}
-	v := <-w.answer
-	return v.after, v.ok
+	v := <-w.decision
+	return v.retryAfter, v.ok
 }
 
-// askRounds asks for those that wait until nobody does. Who comes while a round is asked for
-// is asked for by the next one, so that nobody's request waits for more than two.
-func (l *Limiter) askRounds(q *queue) {
+// acquireRounds requests tokens for the waiting requests, in rounds, until none is left. A request
+// that arrives during a round takes part in the next one, so it waits for at most two rounds.
+func (l *Limiter) acquireRounds(q *queue) {
 	for {
 		q.mu.Lock()
 		round := q.waiting
 		q.waiting = nil
-		q.asking = len(round) > 0
+		q.requesting = len(round) > 0
 		q.mu.Unlock()
 		if len(round) == 0 {
 			return
 		}
-		l.askRound(q, round)
+		l.acquireRound(q, round)
 	}
 }
 
-// askRound asks for a round. It belongs to no single request: the others' tokens don't depend
-// on whether the first one's caller stays.
-func (l *Limiter) askRound(q *queue, round []*waiter) {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+// acquireRound requests tokens for a round of waiting requests. It uses the context of none of them,
+// so that the caller of the first request can't cancel the round for the others.
+func (l *Limiter) acquireRound(q *queue, round []*waiter) {
+	ctx, cancel := context.WithTimeout(context.Background(), acquireTimeout)
 	defer cancel()
 	r := q.Request(l.cfg.Now(), q.name, len(round))
-	g, ok := l.ask(ctx, r)
+	g, ok := l.acquire(ctx, r)
 	if !ok {
-		l.settleByEvenShare(q, round)
+		l.decideByEvenShare(q, round)
 		return
 	}
 	q.RecordOwnerResponse(l.cfg.Now())
-	q.settle(l.cfg.Now(), round, g)
+	q.distribute(l.cfg.Now(), round, g)
 }
 
-// settle shares out a grant.
-func (q *queue) settle(now time.Time, round []*waiter, g quota.Grant) {
-	var short []*waiter
+// distribute assigns the tokens of a grant to the requests of a round. Tokens left over go to the
+// lease; requests without a token are refused.
+func (q *queue) distribute(now time.Time, round []*waiter, g quota.Grant) {
+	var unserved []*waiter
 	for _, w := range round {
 		switch {
 		case g.Tokens == 0:
-			short = append(short, w)
-		case w.give(verdict{ok: true}):
+			unserved = append(unserved, w)
+		case w.decide(decision{ok: true}):
 			g.Tokens--
 		}
 	}
 	q.Put(now, g.Tokens)
-	if len(short) == 0 {
+	if len(unserved) == 0 {
 		return
 	}
-	for i, after := range q.Refuse(now, g, len(short)) {
-		short[i].give(verdict{after: after})
+	for i, retryAfter := range q.Refuse(now, g, len(unserved)) {
+		unserved[i].decide(decision{retryAfter: retryAfter})
 	}
 }
 
-// settleByEvenShare lets requests in by the node's even share: no owner was reached.
-func (l *Limiter) settleByEvenShare(q *queue, round []*waiter) {
+// decideByEvenShare admits requests within the node's even share, for a round that reached no owner.
+func (l *Limiter) decideByEvenShare(q *queue, round []*waiter) {
 	now := l.cfg.Now()
 	for _, w := range round {
-		l.counts.evenShares.Inc()
-		after, ok := q.TakeEvenShare(now, l.cfg.Bounds, l.fleet(now), l.rand.Float64())
-		w.give(verdict{ok: ok, after: after})
+		l.counters.evenShares.Inc()
+		retryAfter, ok := q.TakeEvenShare(now, l.cfg.Bounds, l.fleetSize(now), l.rand.Float64())
+		w.decide(decision{ok: ok, retryAfter: retryAfter})
 	}
 }
 
-// assumedFleet is the number of nodes while the node knows too little to tell.
-const assumedFleet = 64
+// assumedFleetSize is the minimum number of nodes that is assumed while the node's view of the members
+// hasn't settled. It keeps the even share small.
+const assumedFleetSize = 64
 
-func (l *Limiter) fleet(now time.Time) int {
+// fleetSize returns the number of nodes among which even shares divide a quota.
+func (l *Limiter) fleetSize(now time.Time) int {
 	m := l.members.Load()
 	if !m.MayOwn(now) {
 		if m != nil {
-			return max(m.Fleet, assumedFleet)
+			return max(m.Fleet, assumedFleetSize)
 		}
-		return assumedFleet
+		return assumedFleetSize
 	}
 	return m.Fleet
 }
 
-// give tells a request its verdict, and reports whether it was still there.
-func (w *waiter) give(v verdict) bool {
+// decide sends a request its decision. It returns false if the caller has cancelled the request.
+func (w *waiter) decide(v decision) bool {
 	if !w.done.CompareAndSwap(false, true) {
 		return false
 	}
-	w.answer <- v
+	w.decision <- v
 	return true
 }
--- a/transport/quota/wire.go
+++ b/transport/quota/wire.go
@@ -16,20 +16,20 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// Caller sends a message to another node and returns its answer.
+// Caller sends a message to another node and returns the response.
 type Caller interface {
-	Call(ctx context.Context, to quota.Member, m *Message) (*Answer, error)
+	Call(ctx context.Context, to quota.Member, m *Message) (*Response, error)
 }
 
-// Wire is the Caller of a real node.
+// Wire is the Caller that sends messages over HTTP.
 type Wire struct {
 	// Zone is the node's own availability zone.
 	Zone model.Zone
-	// Near sends to gates of the own zone, Far to those of others.
+	// Near sends to gates in the node's own zone, Far to gates in other zones.
 	Near, Far http.RoundTripper
 }
 
-// StatusError reports an answer that is none.
+// StatusError reports a response with an HTTP status other than 200.
 type StatusError struct {
 	// Status is the HTTP status.
 	Status int
@@ -37,17 +37,17 @@
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return "quota message answered with " + http.StatusText(e.Status)
+	return "quota message: response status " + http.StatusText(e.Status)
 }
 
-// messagePath is the path of messages. Only the header tells them from requests.
+// messagePath is the path of messages. Requests may have the same path; only the header differs.
 const messagePath = "/quota"
 
 // Call implements Caller. The error is a *forward.SendError, *StatusError or *MessageError.
-func (w *Wire) Call(ctx context.Context, to quota.Member, m *Message) (*Answer, error) {
+func (w *Wire) Call(ctx context.Context, to quota.Member, m *Message) (*Response, error) {
 	body, err := encMode.Marshal(m)
 	if err != nil {
-		return nil, &MessageError{Reason: "not encoded", Err: err}
+		return nil, &MessageError{Reason: "body could not be encoded", Err: err}
 	}
 	req := &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: to.Addr, Path: messagePath}, Host: to.Addr,
@@ -55,11 +55,11 @@
 		Body:          io.NopCloser(bytes.NewReader(body)),
 		ContentLength: int64(len(body)),
 	}
-	way := w.Near
+	transport := w.Near
 	if to.Zone != w.Zone {
-		way = w.Far
+		transport = w.Far
 	}
-	resp, err := way.RoundTrip(req.WithContext(ctx))
+	resp, err := transport.RoundTrip(req.WithContext(ctx))
 	if err != nil {
 		return nil, err
 	}
@@ -67,9 +67,9 @@
 		forward.Drain(resp)
 		return nil, &StatusError{Status: resp.StatusCode}
 	}
-	a := new(Answer)
+	a := new(Response)
 	err = decode(resp.Body, a)
-	_ = resp.Body.Close() // it was read to its end
+	_ = resp.Body.Close() // it has been read completely
 	if err == nil {
 		err = a.check()
 	}
@@ -79,7 +79,7 @@
 	return a, nil
 }
 
-// Handler answers messages of other nodes and passes everything else on to the gate.
+// Handler handles messages of other nodes and forwards all requests to the gate.
 func Handler(l *Limiter, gate http.Handler, logger log.Logger) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header[outcome.HeaderQuota] == nil {
@@ -96,12 +96,12 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		body, err := encMode.Marshal(l.Answer(r.Context(), m))
+		body, err := encMode.Marshal(l.HandleMessage(r.Context(), m))
 		if err != nil {
 			_ = level.Error(logger).Log("event", "quota_answer_not_sent", "err", err)
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		_, _ = w.Write(body) // the asker has gone, and the tokens with it
+		_, _ = w.Write(body) // if the sender has disconnected, the granted tokens are lost
 	})
 }
--- a/transport/quota/wire_test.go
+++ b/transport/quota/wire_test.go
@@ -20,8 +20,9 @@
 	"github.com/jacinthgate/jacinthgate/transport/forward"
 )
 
-// served returns an owner behind a server, and how many requests passed it by.
-func served(t *testing.T) (to quota.Member, passed *int) {
+// newOwnerServer starts an HTTP server with the Handler of an owner. It returns the owner, and the
+// number of requests that its Handler has forwarded to the gate.
+func newOwnerServer(t *testing.T) (to quota.Member, forwarded *int) {
 	t.Helper()
 	l := New(Config{
 		Self: "n0", Zone: "z", Bounds: quota.Config{Zones: 1, Window: 5 * time.Second, Slack: 20},
@@ -31,15 +32,15 @@
 	records.Put(endpoint.Record{Node: "n0", Zone: "z", Incarnation: 1})
 	l.SetMembers(quota.NewTracker("n0", "z", time.Now().Add(-time.Minute)).Update(time.Now(), records))
 	l.SetOrganisations(map[string]*route.Organisation{"o": organisation(10, 10)})
-	passed = new(int)
-	gate := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { *passed++ })
+	forwarded = new(int)
+	gate := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { *forwarded++ })
 	s := httptest.NewServer(Handler(l, gate, log.NewNopLogger()))
 	t.Cleanup(s.Close)
-	return quota.Member{Node: "n0", Zone: "z", Addr: strings.TrimPrefix(s.URL, "http://")}, passed
+	return quota.Member{Node: "n0", Zone: "z", Addr: strings.TrimPrefix(s.URL, "http://")}, forwarded
 }
 
-func TestMessagesGoOverTheWire(t *testing.T) {
-	to, passed := served(t)
+func TestMessageRoundTripOverHTTP(t *testing.T) {
+	to, forwarded := newOwnerServer(t)
 	client := forward.NewClient(forward.DefaultClientConfig())
 	w := &Wire{Zone: "z", Near: client, Far: client}
 	a, err := w.Call(t.Context(), to, &Message{Kind: KindAcquire, Organisation: "o", Need: 1})
@@ -49,27 +50,27 @@
 	a, err = w.Call(t.Context(), to, &Message{Kind: KindAcquire, Organisation: "nobody", Need: 1})
 	must.NoError(t, err)
 	must.False(t, a.Owned)
-	must.Eq(t, 0, *passed)
+	must.Eq(t, 0, *forwarded)
 }
 
-// Requests of others pass by, also those whose path is that of messages.
-func TestRequestsPassToTheGate(t *testing.T) {
-	to, passed := served(t)
+// A request without the header is forwarded to the gate, even if its path is that of messages.
+func TestOtherRequestsAreForwardedToTheGate(t *testing.T) {
+	to, forwarded := newOwnerServer(t)
 	resp, err := http.Post("http://"+to.Addr+messagePath, "", nil)
 	must.NoError(t, err)
 	must.NoError(t, resp.Body.Close())
-	must.Eq(t, 1, *passed)
+	must.Eq(t, 1, *forwarded)
 }
 
-func TestMessagesThatNoNodeSendsAreRefused(t *testing.T) {
-	to, _ := served(t)
+func TestInvalidMessagesAreRejected(t *testing.T) {
+	to, _ := newOwnerServer(t)
 	for name, body := range map[string][]byte{
 		"empty":      nil,
-		"too large":  make([]byte, maxBody+1),
+		"too large":  make([]byte, maxMessageBytes+1),
 		"no CBOR":    []byte("hello"),
-		"negative":   must1(encMode.Marshal(&Message{Kind: KindTransfer, Organisation: "o", Want: -1})),
-		"no kind":    must1(encMode.Marshal(&Message{Organisation: "o"})),
-		"beyond all": must1(encMode.Marshal(&Message{Kind: KindTransfer, Organisation: "o", Want: 1e12})),
+		"negative":   mustBytes(encMode.Marshal(&Message{Kind: KindTransfer, Organisation: "o", Want: -1})),
+		"no kind":    mustBytes(encMode.Marshal(&Message{Organisation: "o"})),
+		"beyond all": mustBytes(encMode.Marshal(&Message{Kind: KindTransfer, Organisation: "o", Want: 1e12})),
 	} {
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+to.Addr+messagePath, bytes.NewReader(body))
 		must.NoError(t, err)
@@ -81,27 +82,27 @@
 	}
 }
 
-func must1(b []byte, err error) []byte {
+func mustBytes(b []byte, err error) []byte {
 	if err != nil {
 		panic(err)
 	}
 	return b
 }
 
-// Callers can't speak to the ledgers: what only nodes may set is removed.
-func TestCallersCantSendMessages(t *testing.T) {
+// Callers can't send messages to ledgers, since the header that marks messages is stripped.
+func TestQuotaHeaderFromCallersIsStripped(t *testing.T) {
 	h := http.Header{outcome.HeaderQuota: {"1"}}
 	forward.StripNodeHeaders(h)
 	must.MapEmpty(t, h)
 }
 
-func TestNobodyListens(t *testing.T) {
-	to, _ := served(t)
+func TestRefusedConnectionMarksNodeGone(t *testing.T) {
+	to, _ := newOwnerServer(t)
 	to.Addr = "127.0.0.1:1"
 	client := forward.NewClient(forward.DefaultClientConfig())
 	_, err := (&Wire{Zone: "z", Near: client, Far: client}).Call(context.Background(), to, &Message{Kind: KindAcquire, Organisation: "o"})
 	must.Error(t, err)
 	var s suspects
 	must.True(t, s.add("n0", time.Now(), err))
-	must.True(t, s.gone("n0", time.Now()), must.Sprint("a refused connection tells at once"))
+	must.True(t, s.gone("n0", time.Now()), must.Sprint("a refused connection marks the node as gone at once"))
 }
