--- a/transport/quota/bed_test.go
+++ b/transport/quota/bed_test.go
@@ -20,7 +20,7 @@
 	"github.com/jacinthgate/jacinthgate/state/route"
 )
 
-var errMessageLost = errors.New("message lost")
+var errMessageLost = errors.New("lost")
 
 // host is one node of a testBed.
 type host struct {
@@ -122,14 +122,14 @@
 }
 
 // observe updates the record that a node holds of another one to its current state.
-func (b *testBed) observe(h, of *host) {
+func (b *testBed) observe(h, other *host) {
 	b.mu.Lock()
-	r := endpoint.Record{Node: of.id, Zone: of.zone, GateAddr: string(of.id), Incarnation: of.incarnation}
-	if !of.up || b.split && of.side != h.side {
+	r := endpoint.Record{Node: other.id, Zone: other.zone, GateAddr: string(other.id), Incarnation: other.incarnation}
+	if !other.up || b.split && other.side != h.side {
 		r.Sequence = 1
 		r.Status, r.Died = endpoint.StatusFailed, time.Now().Unix()
 	}
-	if h.up && of.incarnation > 0 {
+	if h.up && other.incarnation > 0 {
 		h.table.Put(r)
 	}
 	b.mu.Unlock()
--- a/transport/quota/outage_test.go
+++ b/transport/quota/outage_test.go
@@ -113,7 +113,7 @@
 		must.NotEq(t, -1, at, must.Sprint(name))
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			asked, refused := 0, 0
+			requested, refused := 0, 0
 			for seed := range 20 * seeds(t) {
 				synctest.Test(t, func(t *testing.T) {
 					b := newTestBed(seed+1, fleetNodes, organisation(perSecond, burst))
@@ -121,11 +121,11 @@
 					time.Sleep(settleTime)
 					fleetCases[at].run(b, perSecond)
 					time.Sleep(time.Second)
-					b.withLock(func() { asked, refused = asked+b.requested["o"], refused+b.refused["o"] })
+					b.withLock(func() { requested, refused = requested+b.requested["o"], refused+b.refused["o"] })
 				})
 			}
-			t.Logf("%d of %d refused", refused, asked)
-			must.LessEq(t, fleetCases[at].refused*float64(asked), float64(refused))
+			t.Logf("%d of %d refused", refused, requested)
+			must.LessEq(t, fleetCases[at].refused*float64(requested), float64(refused))
 		})
 	}
 }
