--- a/internal/sidecar/quota.go
+++ b/internal/sidecar/quota.go
@@ -30,7 +30,7 @@
 			Bounds: bounds.Config{
 				Zones: len(n.set.Zones), Window: seconds(set.WindowSeconds), Over: set.Over, Slack: set.Slack,
 			},
-			Caller:  &quota.Wire{Zone: n.set.Zone, Near: near, Far: far},
+			Caller:  &quota.HTTPCaller{Zone: n.set.Zone, SameZone: near, OtherZones: far},
 			Seed:    seed,
 			Metrics: n.metrics,
 			Logger:  n.log,
--- a/transport/quota/wire.go
+++ b/transport/quota/wire.go
@@ -21,12 +21,12 @@
 	Call(ctx context.Context, to quota.Member, m *Message) (*Response, error)
 }
 
-// Wire is the Caller that sends messages over HTTP.
-type Wire struct {
+// HTTPCaller is the Caller that sends messages over HTTP.
+type HTTPCaller struct {
 	// Zone is the node's own availability zone.
 	Zone model.Zone
-	// Near sends to gates in the node's own zone, Far to gates in other zones.
-	Near, Far http.RoundTripper
+	// SameZone sends to gates in the node's own zone, OtherZones to gates in other zones.
+	SameZone, OtherZones http.RoundTripper
 }
 
 // StatusError reports a response with an HTTP status other than 200.
@@ -44,7 +44,7 @@
 const messagePath = "/quota"
 
 // Call implements Caller. The error is a *forward.SendError, *StatusError or *MessageError.
-func (w *Wire) Call(ctx context.Context, to quota.Member, m *Message) (*Response, error) {
+func (w *HTTPCaller) Call(ctx context.Context, to quota.Member, m *Message) (*Response, error) {
 	body, err := encMode.Marshal(m)
 	if err != nil {
 		return nil, &MessageError{Reason: "body could not be encoded", Err: err}
@@ -55,9 +55,9 @@
 		Body:          io.NopCloser(bytes.NewReader(body)),
 		ContentLength: int64(len(body)),
 	}
-	transport := w.Near
+	transport := w.SameZone
 	if to.Zone != w.Zone {
-		transport = w.Far
+		transport = w.OtherZones
 	}
 	resp, err := transport.RoundTrip(req.WithContext(ctx))
 	if err != nil {
--- a/transport/quota/wire_test.go
+++ b/transport/quota/wire_test.go
@@ -42,7 +42,7 @@
 func TestMessageRoundTripOverHTTP(t *testing.T) {
 	to, forwarded := newOwnerServer(t)
 	client := forward.NewClient(forward.DefaultClientConfig())
-	w := &Wire{Zone: "z", Near: client, Far: client}
+	w := &HTTPCaller{Zone: "z", SameZone: client, OtherZones: client}
 	a, err := w.Call(t.Context(), to, &Message{Kind: KindAcquire, Organisation: "o", Need: 1})
 	must.NoError(t, err)
 	must.True(t, a.Owned)
@@ -100,7 +100,7 @@
 	to, _ := newOwnerServer(t)
 	to.Addr = "127.0.0.1:1"
 	client := forward.NewClient(forward.DefaultClientConfig())
-	_, err := (&Wire{Zone: "z", Near: client, Far: client}).Call(context.Background(), to, &Message{Kind: KindAcquire, Organisation: "o"})
+	_, err := (&HTTPCaller{Zone: "z", SameZone: client, OtherZones: client}).Call(context.Background(), to, &Message{Kind: KindAcquire, Organisation: "o"})
 	must.Error(t, err)
 	var s suspects
 	must.True(t, s.add("n0", time.Now(), err))
