--- a/protocol/outcome/urgency.go
+++ b/protocol/outcome/urgency.go
@@ -8,9 +8,10 @@
 
 // Urgency is what a gate's queue orders requests by.
 type Urgency struct {
-	// Left is the time until the request's deadline; 0 if it has passed.
+	// Left is the time until the response is due, by its target latency or the
+	// request's deadline, whichever is earlier; 0 if it is overdue.
 	Left time.Duration
-	// Target is the target latency of requests of this class.
+	// Target is the latency target of requests of this class.
 	Target time.Duration
 	// Rank is the request's importance; 0 is the most important.
 	Rank int
