--- a/state/codec/codec.go
+++ b/state/codec/codec.go
@@ -1,26 +1,31 @@
-// Package codec makes the strict CBOR encoding that snapshots and messages
-// share: it refuses whatever this project's encoder does not write, so that a
-// decoded value needs no check for null, infinity or duplicate keys.
+// Package codec configures the strict CBOR encoding of snapshots and messages.
+// The decoder rejects whatever this project's encoder never writes, so that
+// callers need not check a decoded value for null, NaN, infinity or duplicate
+// keys.
 package codec
 
 import "github.com/fxamacker/cbor/v2"
 
-// null is CBOR's null. The encoder writes a nil slice as an empty one.
+// null is CBOR's null, which the decoder rejects: the encoder writes a nil
+// slice or map as an empty one.
 const null cbor.SimpleValue = 22
 
-// Limits bound what a decoder takes, against hostile input.
+// Limits bound the size and depth of the values that a decoder accepts, as a
+// protection against hostile input.
 type Limits struct {
-	// Elements is the largest number of elements of one array or map.
+	// Elements is the largest number of elements of one array, or of pairs of one
+	// map.
 	Elements int
-	// Nesting is the largest depth of arrays and maps.
+	// Nesting is the largest nesting depth of arrays and maps.
 	Nesting int
 }
 
-// NewEncoder returns the encoding mode.
+// NewEncoder returns the encoding mode, which writes floating-point numbers in
+// the width of their Go type.
 func NewEncoder() cbor.EncMode {
 	m, err := cbor.EncOptions{NilContainers: cbor.NilContainerAsEmpty}.EncMode()
 	if err != nil {
-		panic(err) // the options are constants; tests encode with them
+		panic(err) // the options are constants, and tests cover them
 	}
 	return m
 }
@@ -31,7 +36,7 @@
 	o := cbor.EncOptions{NilContainers: cbor.NilContainerAsEmpty, ShortestFloat: cbor.ShortestFloat16}
 	m, err := o.EncMode()
 	if err != nil {
-		panic(err) // the options are constants; tests encode with them
+		panic(err) // the options are constants, and tests cover them
 	}
 	return m
 }
@@ -54,7 +59,7 @@
 		IndefLength:      cbor.IndefLengthForbidden,
 	}.DecMode()
 	if err != nil {
-		panic(err) // the limits are constants; tests decode with them
+		panic(err) // the limits are constants, and tests cover them
 	}
 	return m
 }
--- a/state/model/batch.go
+++ b/state/model/batch.go
@@ -6,7 +6,8 @@
 	"github.com/jacinthgate/jacinthgate/state/strictjson"
 )
 
-// Batch is several changes that become one version, all or none.
+// Batch is a set of changes that are applied together as one version, or not
+// at all.
 type Batch struct {
 	// Contracts are the contracts to create or replace.
 	Contracts []*Contract `json:"contracts,omitempty"`
@@ -43,15 +44,17 @@
 			k.faults.Add(path, "null", "a contract")
 			continue
 		}
-		k.below(path, c.faults())
+		k.addNested(path, c.faults())
 		k.unique(path+".organisation", c.Organisation, seen)
-		k.foreignHosts(path+".hosts", c, hosts)
+		k.hostConflicts(path+".hosts", c, hosts)
 	}
 	k.deletions("deleteContracts", b.DeleteContracts, seen)
 }
 
-// foreignHosts reports the hosts that another contract of the batch claims.
-func (k *checker) foreignHosts(path string, c *Contract, owners map[string]string) {
+// hostConflicts adds a fault for each host of c that an earlier contract of the
+// batch claims for another organisation, and adds c's hosts to owners, which
+// maps each host to its organisation.
+func (k *checker) hostConflicts(path string, c *Contract, owners map[string]string) {
 	for i, host := range c.Hosts {
 		owner, taken := owners[host]
 		if taken && owner != c.Organisation {
@@ -69,13 +72,14 @@
 			k.faults.Add(path, "null", "a service")
 			continue
 		}
-		k.below(path, s.faults())
+		k.addNested(path, s.faults())
 		k.unique(path+".name", s.Name, seen)
 	}
 	k.deletions("deleteServices", b.DeleteServices, seen)
 }
 
-// deletions checks names to delete; seen holds the names that the batch puts.
+// deletions checks the names to delete; seen holds the names of the documents
+// that the batch creates or replaces.
 func (k *checker) deletions(path string, names []string, seen map[string]bool) {
 	for i, name := range names {
 		at := strictjson.Index(path, i)
@@ -85,8 +89,9 @@
 	}
 }
 
-// below adds the faults of a document that lies at path.
-func (k *checker) below(path string, faults strictjson.Faults) {
+// addNested adds the faults of the document at path, with path put before
+// theirs.
+func (k *checker) addNested(path string, faults strictjson.Faults) {
 	for _, f := range faults {
 		k.faults.Add(strictjson.Join(path, f.Path), f.Found, f.Allowed)
 	}
--- a/state/model/check.go
+++ b/state/model/check.go
@@ -9,7 +9,7 @@
 	"github.com/jacinthgate/jacinthgate/state/strictjson"
 )
 
-// What the documents allow, in the words of their faults.
+// Descriptions of the allowed values, for strictjson.Fault.Allowed.
 const (
 	allowedName   = "1 to 63 lower-case letters, digits and hyphens, first no hyphen"
 	allowedHost   = "a lower-case host name without port"
@@ -17,7 +17,7 @@
 	allowedUnique = "a name that is not used before"
 )
 
-// Characters of a name and of a path, beside letters and digits.
+// Characters allowed in names and paths.
 const (
 	pathMarks    = "-._~!$&'()*+,;=:@/"
 	lowerLetters = "abcdefghijklmnopqrstuvwxyz"
@@ -65,7 +65,7 @@
 	return strings.Trim(s, allowed) == ""
 }
 
-// checker collects the faults of one document.
+// checker validates values of one document and collects the faults.
 type checker struct {
 	faults strictjson.Faults
 }
@@ -90,8 +90,9 @@
 	}
 }
 
-// share checks a number within 0 to high; not-a-number is outside.
-func (c *checker) share(path string, v, high float64) {
+// fraction checks that v lies between 0 and high, both included. NaN is a
+// fault.
+func (c *checker) fraction(path string, v, high float64) {
 	if v >= 0 && v <= high {
 		return
 	}
@@ -110,7 +111,7 @@
 	}
 }
 
-// unique checks that s is not in seen yet, and adds it.
+// unique checks that s is not in seen, and adds it there.
 func (c *checker) unique(path, s string, seen map[string]bool) {
 	if seen[s] {
 		c.faults.AddValue(path, s, allowedUnique)
--- a/state/model/contract.go
+++ b/state/model/contract.go
@@ -1,15 +1,16 @@
 package model
 
-// Contract is the single document from which every limit on one organisation's
-// traffic follows. Contracts are immutable once they are part of a snapshot.
+// Contract is the document that defines all limits on one organisation's
+// traffic. Contracts are immutable once they are part of a snapshot.
 type Contract struct {
-	// Organisation is the name of the firm, unique on the site. All names here are of lower-case
-	// letters, digits and hyphens, and don't start with a hyphen.
+	// Organisation is the organisation's name, unique on the site. All names
+	// in a contract consist of lower-case letters, digits and hyphens, and
+	// don't start with a hyphen.
 	Organisation string `json:"organisation" cbor:"1,keyasint" jsonschema:"pattern=^[a-z0-9][a-z0-9-]*$,maxLength=63"`
 	// Hosts lists the HTTP Host values, in lower case and without port, that
 	// identify the organisation's callers. A host belongs to one contract only.
 	Hosts []string `json:"hosts" cbor:"2,keyasint" jsonschema:"minItems=1,maxItems=64,uniqueItems=true"`
-	// HandledBy says which system handles the organisation's traffic. A route may
+	// HandledBy is the system that handles the organisation's traffic. A route may
 	// override it.
 	HandledBy System `json:"handledBy" cbor:"3,keyasint" jsonschema:"enum=mesh,enum=older"`
 	// Rate limits the organisation's requests over the whole fleet.
@@ -17,13 +18,13 @@
 	// Concurrency limits the organisation's requests in flight over the whole
 	// fleet.
 	Concurrency int `json:"concurrency" cbor:"5,keyasint" jsonschema:"minimum=1,maximum=10000000"`
-	// Weight is the organisation's part of spare capacity, relative to the
-	// weights of the others.
+	// Weight is the organisation's share of spare capacity, relative to the
+	// weights of the other organisations.
 	Weight int `json:"weight" cbor:"6,keyasint" jsonschema:"minimum=1,maximum=1000"`
-	// Classes are the classes of request that routes refer to by name. Only an
+	// Classes are the request classes, to which routes refer by name. Only an
 	// organisation that the older system handles may have none.
 	Classes []Class `json:"classes" cbor:"7,keyasint" jsonschema:"maxItems=16"`
-	// Routes are matched in order; the first match decides. Only an organisation
+	// Routes are matched in order; the first match applies. Only an organisation
 	// that the older system handles may have none.
 	Routes []Route `json:"routes" cbor:"8,keyasint" jsonschema:"maxItems=256"`
 }
@@ -39,7 +40,7 @@
 	SystemOlder System = "older"
 )
 
-// Rate is a token bucket.
+// Rate is a rate limit, enforced by a token bucket.
 type Rate struct {
 	// PerSecond is the refill rate in requests per second.
 	PerSecond float64 `json:"perSecond" cbor:"1,keyasint" jsonschema:"exclusiveMinimum=0,maximum=10000000"`
@@ -47,7 +48,8 @@
 	Burst int `json:"burst" cbor:"2,keyasint" jsonschema:"minimum=1,maximum=10000000"`
 }
 
-// ClassKind says how urgent a class is and how it is shed under overload.
+// ClassKind is the kind of work of a class. It determines the class's urgency
+// and how its requests are shed under overload.
 type ClassKind string
 
 // The kinds of class, most important first.
@@ -57,19 +59,19 @@
 	KindNonRepeatable ClassKind = "non-repeatable"
 	// KindUpload is non-repeatable work with a large request body.
 	KindUpload ClassKind = "upload"
-	// KindInteractive is work a person waits for (a screen, an order status).
+	// KindInteractive is work for which a person waits (a screen, an order status).
 	KindInteractive ClassKind = "interactive"
 	// KindBulk is slow transfer (firmware, artwork proofs).
 	KindBulk ClassKind = "bulk"
-	// KindEventual is work between services that only has to arrive some time.
+	// KindEventual is work between services that only has to arrive eventually.
 	KindEventual ClassKind = "eventual"
 )
 
 // NumKinds is the number of kinds.
 const NumKinds = 4
 
-// Rank returns a kind's place in the order of importance, from 0, the first, to
-// NumKinds-1. A kind that is not known is the least important.
+// Rank returns the kind's position in the order of importance, from 0 for the
+// most important to NumKinds-1. An unknown kind ranks as the least important.
 func (k ClassKind) Rank() int {
 	switch k {
 	case KindNonRepeatable, KindUpload:
@@ -86,34 +88,34 @@
 // Repeatable reports whether a request of the kind may run more than once.
 func (k ClassKind) Repeatable() bool { return k != KindNonRepeatable && k != KindUpload }
 
-// Class is a class of request of one organisation.
+// Class is a request class of one organisation.
 type Class struct {
 	// Name is unique within the contract.
 	Name string `json:"name" cbor:"1,keyasint" jsonschema:"pattern=^[a-z0-9][a-z0-9-]*$,maxLength=63"`
-	// Kind decides importance and shedding order.
+	// Kind determines the importance and the order of load shedding.
 	Kind ClassKind `json:"kind" cbor:"2,keyasint" jsonschema:"enum=non-repeatable,enum=interactive,enum=bulk,enum=eventual"`
 	// Rate limits the class over the whole fleet. Without it only the
-	// organisation's rate holds.
+	// organisation's rate applies.
 	Rate *Rate `json:"rate,omitempty" cbor:"3,keyasint,omitempty"`
 	// Concurrency limits the class's requests in flight over the whole fleet.
-	// Without it, or with 0, only the organisation's limit holds.
+	// Without it, or with 0, only the organisation's limit applies.
 	Concurrency int `json:"concurrency,omitempty" cbor:"4,keyasint,omitempty" jsonschema:"minimum=0,maximum=10000000"`
-	// Reserve is the part of the organisation's concurrency that only this class
-	// may use, in requests. The reserves of all classes together must not
+	// Reserve is the part of the organisation's concurrency, in requests, that
+	// only this class may use. The reserves of all classes together must not
 	// exceed the organisation's concurrency.
 	Reserve int `json:"reserve,omitempty" cbor:"5,keyasint,omitempty" jsonschema:"minimum=0,maximum=10000000"`
-	// Weight is the class's part of the organisation's spare capacity.
+	// Weight is the class's share of the organisation's spare capacity.
 	Weight int `json:"weight" cbor:"6,keyasint" jsonschema:"minimum=1,maximum=1000"`
 	// Deadline is the longest time a request of the class may take, 1ms to
 	// 1h.
 	Deadline Duration `json:"deadline" cbor:"7,keyasint"`
-	// Repeatable says that a request of the class is idempotent and may be
-	// retried after an unknown outcome. It must be false for
-	// the kind non-repeatable.
+	// Repeatable is true if requests of the class are idempotent and may be
+	// retried after an unknown outcome. It must be false for the kind
+	// non-repeatable.
 	Repeatable bool `json:"repeatable" cbor:"8,keyasint"`
-	// RetryBudget bounds retries. Without it there are none. A class that is
-	// not repeatable is retried only where the first attempt certainly was
-	// not run.
+	// RetryBudget bounds retries. Without it there are none. A request of a
+	// class that is not repeatable is retried only if the first attempt
+	// certainly was not run.
 	RetryBudget *RetryBudget `json:"retryBudget,omitempty" cbor:"9,keyasint,omitempty"`
 }
 
@@ -121,9 +123,9 @@
 type RetryBudget struct {
 	// Ratio is the number of retries allowed for each first attempt.
 	Ratio float64 `json:"ratio" cbor:"1,keyasint" jsonschema:"minimum=0,maximum=1"`
-	// MinPerSecond is the number of retries per second allowed in any case
-	// over the whole fleet, so that a class with little traffic may still
-	// retry.
+	// MinPerSecond is the number of retries per second over the whole fleet
+	// that are allowed whatever the ratio, so that a class with little traffic may
+	// still retry.
 	MinPerSecond float64 `json:"minPerSecond" cbor:"2,keyasint" jsonschema:"minimum=0,maximum=1000"`
 }
 
@@ -131,18 +133,18 @@
 type Route struct {
 	// Name is unique within the contract.
 	Name string `json:"name" cbor:"1,keyasint" jsonschema:"pattern=^[a-z0-9][a-z0-9-]*$,maxLength=63"`
-	// Methods lists the HTTP methods matched. Without it every method
+	// Methods lists the HTTP methods that match. Without it every method
 	// matches.
 	Methods []string `json:"methods,omitempty" cbor:"2,keyasint,omitempty" jsonschema:"uniqueItems=true,enum=GET,enum=HEAD,enum=POST,enum=PUT,enum=PATCH,enum=DELETE,enum=OPTIONS"`
-	// PathPrefix matches the request path on whole segments. It starts with a
-	// slash and holds no escapes, empty segments or dot segments.
+	// PathPrefix matches whole segments at the start of the request path. It
+	// starts with a slash and contains no escapes, empty segments or dot segments.
 	PathPrefix string `json:"pathPrefix" cbor:"3,keyasint" jsonschema:"pattern=^/,maxLength=1024"`
-	// Service is the name of a service held in the same version.
+	// Service is the name of a service in the same version.
 	Service string `json:"service" cbor:"4,keyasint" jsonschema:"pattern=^[a-z0-9][a-z0-9-]*$,maxLength=63"`
 	// Class is the name of a class of the same contract.
 	Class string `json:"class" cbor:"5,keyasint" jsonschema:"pattern=^[a-z0-9][a-z0-9-]*$,maxLength=63"`
 	// HandledBy overrides the contract's value for this route. Without it the
-	// contract's value holds.
+	// contract's value applies.
 	HandledBy System `json:"handledBy,omitempty" cbor:"6,keyasint,omitempty" jsonschema:"enum=mesh,enum=older"`
 }
 
@@ -151,23 +153,23 @@
 type Service struct {
 	// Name is the service's unique name.
 	Name string `json:"name" cbor:"1,keyasint" jsonschema:"pattern=^[a-z0-9][a-z0-9-]*$,maxLength=63"`
-	// SlowStart is how long a cold backend server takes to be given its full
-	// share, 0s to 10m. 0s gives it the full share at once.
+	// SlowStart is the time over which a cold backend server's share of
+	// requests rises to its full share, 0s to 10m. With 0s it gets the full
+	// share at once.
 	SlowStart Duration `json:"slowStart" cbor:"2,keyasint"`
-	// ProbePath is the path that answers 200 on a healthy backend server.
-	// Without it there are no probes.
+	// ProbePath is the path of health probes. A healthy backend server
+	// responds to it with status 200. Without it there are no probes.
 	ProbePath string `json:"probePath,omitempty" cbor:"3,keyasint,omitempty" jsonschema:"pattern=^/,maxLength=1024"`
-	// ProbeInterval is the time between probes, 100ms to 10m. It is given
-	// together with ProbePath.
+	// ProbeInterval is the time between probes, 100ms to 10m. It must be set
+	// if and only if ProbePath is.
 	ProbeInterval Duration `json:"probeInterval,omitempty" cbor:"4,keyasint,omitempty"`
-	// OlderSlots is the number of slots on each backend server that are left
-	// to the older system.
+	// OlderSlots is the number of slots on each backend server that are reserved
+	// for the older system.
 	OlderSlots int `json:"olderSlots,omitempty" cbor:"5,keyasint,omitempty" jsonschema:"minimum=0,maximum=10000"`
-	// MaxEjected is the largest part of the backend servers that may be
-	// ejected for failures at one time, as a fraction. At least a tenth always
-	// stays.
+	// MaxEjected is the largest fraction of the backend servers that may be
+	// ejected for failures at the same time. At least a tenth always remains.
 	MaxEjected float64 `json:"maxEjected" cbor:"6,keyasint" jsonschema:"minimum=0,maximum=0.9"`
 	// QueueLength bounds the queue in front of one backend server, in
-	// requests. 0 queues none.
+	// requests. With 0 there is no queue.
 	QueueLength int `json:"queueLength,omitempty" cbor:"7,keyasint,omitempty" jsonschema:"minimum=0,maximum=10000"`
 }
--- a/state/model/duration.go
+++ b/state/model/duration.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Duration is a time.Duration that JSON documents write with its unit, such
+// Duration is a time.Duration that JSON documents give as a string with a unit, such
 // as "250ms" or "8s".
 type Duration time.Duration
 
-// unitEnds are the last letters of all units. time.ParseDuration would take a
-// zero without a unit.
+// unitEnds are the last letters of all units. A duration must contain one of
+// them: time.ParseDuration by itself accepts a zero without a unit.
 const unitEnds = "smh"
 
 // Std returns d as a time.Duration.
@@ -26,7 +26,7 @@
 }
 
 // UnmarshalJSON reads a string with a unit. It returns a *DurationError for
-// anything else; a bare number has no unit and is refused.
+// anything else; a bare number has no unit and is rejected.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -51,5 +51,5 @@
 	return "duration " + e.Found + ": want " + e.Allowed()
 }
 
-// Allowed says what a document may hold.
+// Allowed describes the accepted values; it implements strictjson.Explainer.
 func (e *DurationError) Allowed() string { return `a string with a unit, such as "250ms"` }
--- a/state/model/name.go
+++ b/state/model/name.go
@@ -23,17 +23,19 @@
 	MaxRequests = 10_000_000
 	// MaxRetriesPerSecond is the largest RetryBudget.MinPerSecond.
 	MaxRetriesPerSecond = 1000
-	// MaxEjectedShare is the largest Service.MaxEjected: a tenth of the
-	// backend servers always stays.
+	// MaxEjectedShare is the largest Service.MaxEjected: at least a tenth
+	// of the backend servers always remains.
 	MaxEjectedShare = 0.9
 	// MaxQueueLength is the largest Service.QueueLength and OlderSlots.
 	MaxQueueLength = 10_000
 )
 
-// NodeID names one node. It is stable over restarts: the settings give it.
+// NodeID names one node. It comes from the settings and so stays the
+// same over restarts.
 type NodeID string
 
-// NodeKey is a NodeID's 64-bit hash, used where a list of nodes is sent.
+// NodeKey is the 64-bit hash of a NodeID. Messages with lists of nodes carry it
+// in place of the name.
 type NodeKey uint64
 
 // Key returns the node's key.
--- a/state/model/parse.go
+++ b/state/model/parse.go
@@ -6,20 +6,20 @@
 	"github.com/jacinthgate/jacinthgate/state/strictjson"
 )
 
-// validator is a document that knows its own faults.
+// validator is a document that can be validated.
 type validator interface {
 	faults() strictjson.Faults
 }
 
-// parse decodes b into doc and checks it. The error is a strictjson.Faults
-// with all faults of both steps.
+// parse decodes b into doc and validates it. The error is a strictjson.Faults
+// with the faults of both steps.
 func parse(b []byte, doc validator) error {
 	faults := strictjson.Decode(b, doc)
 	faults.Merge(doc.faults())
 	return faults.Err()
 }
 
-// ParseContract reads and checks one contract. The error is a
+// ParseContract parses and validates one contract. The error is a
 // strictjson.Faults.
 func ParseContract(b []byte) (*Contract, error) {
 	c := new(Contract)
@@ -29,7 +29,7 @@
 	return c, nil
 }
 
-// ParseService reads and checks one service. The error is a
+// ParseService parses and validates one service. The error is a
 // strictjson.Faults.
 func ParseService(b []byte) (*Service, error) {
 	s := new(Service)
@@ -39,7 +39,7 @@
 	return s, nil
 }
 
-// ParseBatch reads and checks a batch. The error is a strictjson.Faults.
+// ParseBatch parses and validates a batch. The error is a strictjson.Faults.
 func ParseBatch(b []byte) (*Batch, error) {
 	batch := new(Batch)
 	if err := parse(b, batch); err != nil {
@@ -48,8 +48,8 @@
 	return batch, nil
 }
 
-// ParseDocument reads a contract (it has the key organisation), a service (it has
-// the key name) or a batch, and returns it as a batch. The error is a
+// ParseDocument parses a contract (recognised by its key organisation), a
+// service (by its key name) or a batch, and returns it as a batch. The error is a
 // strictjson.Faults; its paths are those of the document as written.
 func ParseDocument(b []byte) (*Batch, error) {
 	keys := strictjson.Keys(b)
--- a/state/model/parse_test.go
+++ b/state/model/parse_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-const wholeContract = `{
+const validContract = `{
  "organisation": "clinic", "hosts": ["clinic.example"], "handledBy": "mesh",
  "rate": {"perSecond": 50, "burst": 100}, "concurrency": 20, "weight": 10,
  "classes": [
@@ -22,11 +22,11 @@
   {"name": "rest", "pathPrefix": "/", "service": "foglalas", "class": "screens", "handledBy": "older"}
  ]}`
 
-const wholeService = `{"name": "foglalas", "slowStart": "10s", "probePath": "/healthz", "probeInterval": "2s",
+const validService = `{"name": "foglalas", "slowStart": "10s", "probePath": "/healthz", "probeInterval": "2s",
  "olderSlots": 2, "maxEjected": 0.4, "queueLength": 40}`
 
-func TestParseContractTakesWholeOne(t *testing.T) {
-	c, err := ParseContract([]byte(wholeContract))
+func TestParseContractAcceptsValid(t *testing.T) {
+	c, err := ParseContract([]byte(validContract))
 	must.NoError(t, err)
 	must.Eq(t, "clinic", c.Organisation)
 	must.Eq(t, Duration(2*time.Second), c.Classes[0].Deadline)
@@ -36,7 +36,7 @@
 	must.NoError(t, err)
 }
 
-func TestParseContractRefuses(t *testing.T) {
+func TestParseContractRejectsInvalid(t *testing.T) {
 	const name = allowedName
 	cases := []struct{ old, new, want string }{
 		{`"clinic",`, `"Clinic",`, `organisation: found "Clinic", allowed: ` + name},
@@ -82,15 +82,15 @@
 	}
 	for _, c := range cases {
 		t.Run(c.new, func(t *testing.T) {
-			must.StrContains(t, wholeContract, c.old)
-			_, err := ParseContract([]byte(strings.Replace(wholeContract, c.old, c.new, 1)))
+			must.StrContains(t, validContract, c.old)
+			_, err := ParseContract([]byte(strings.Replace(validContract, c.old, c.new, 1)))
 			must.EqError(t, err, c.want)
 		})
 	}
 }
 
-func TestValidateRefusesNotANumber(t *testing.T) {
-	c, err := ParseContract([]byte(wholeContract))
+func TestValidateRejectsNaN(t *testing.T) {
+	c, err := ParseContract([]byte(validContract))
 	must.NoError(t, err)
 	c.Rate.PerSecond = math.NaN()
 	c.Classes[0].RetryBudget.Ratio = math.NaN()
@@ -99,7 +99,7 @@
 }
 
 func TestValidateBoundsCounts(t *testing.T) {
-	c, err := ParseContract([]byte(wholeContract))
+	c, err := ParseContract([]byte(validContract))
 	must.NoError(t, err)
 	c.Hosts = make([]string, MaxHosts+1)
 	c.Classes = make([]Class, MaxClasses+1)
@@ -111,7 +111,7 @@
 	must.StrContains(t, c.Validate().Error(), "routes: found 257 elements")
 }
 
-func TestParseServiceRefuses(t *testing.T) {
+func TestParseServiceRejectsInvalid(t *testing.T) {
 	cases := []struct{ old, new, want string }{
 		{`"10s"`, `"11m"`, `slowStart: found 11m0s, allowed: 0s to 10m0s`},
 		{`"/healthz"`, `"healthz"`, `probePath: found "healthz", allowed: ` + allowedPath},
@@ -122,33 +122,33 @@
 		{`40`, `10001`, `queueLength: found 10001, allowed: 0 to 10000`},
 	}
 	for _, c := range cases {
-		_, err := ParseService([]byte(strings.Replace(wholeService, c.old, c.new, 1)))
+		_, err := ParseService([]byte(strings.Replace(validService, c.old, c.new, 1)))
 		must.EqError(t, err, c.want)
 	}
 }
 
 func TestParseDocument(t *testing.T) {
-	b, err := ParseDocument([]byte(wholeContract))
+	b, err := ParseDocument([]byte(validContract))
 	must.NoError(t, err)
 	must.Eq(t, "clinic", b.Contracts[0].Organisation)
-	b, err = ParseDocument([]byte(wholeService))
+	b, err = ParseDocument([]byte(validService))
 	must.NoError(t, err)
 	must.Eq(t, "foglalas", b.Services[0].Name)
-	b, err = ParseDocument([]byte(`{"contracts": [` + wholeContract + `], "deleteServices": ["kiosztas"]}`))
+	b, err = ParseDocument([]byte(`{"contracts": [` + validContract + `], "deleteServices": ["kiosztas"]}`))
 	must.NoError(t, err)
 	must.Len(t, 1, b.Contracts)
 	must.Eq(t, []string{"kiosztas"}, b.DeleteServices)
 }
 
-func TestParseBatchRefuses(t *testing.T) {
-	hall := strings.Replace(wholeContract, `"clinic",`, `"hall",`, 1)
+func TestParseBatchRejectsInvalid(t *testing.T) {
+	hall := strings.Replace(validContract, `"clinic",`, `"hall",`, 1)
 	cases := []struct{ doc, want string }{
 		{`{}`, "document: found no change, allowed: at least one contract, service or deletion"},
 		{`{"contracts": [null]}`, "contracts[0]: found null, allowed: a value, or no such key"},
-		{`{"contracts": [` + wholeContract + `], "deleteContracts": ["clinic"]}`, `deleteContracts[0]: found "clinic", allowed: ` + allowedUnique},
-		{`{"contracts": [` + wholeContract + `,` + hall + `]}`, `contracts[1].hosts[0]: found "clinic.example", allowed: a host that clinic doesn't claim`},
-		{`{"services": [` + wholeService + `,` + wholeService + `]}`, `services[1].name: found "foglalas", allowed: ` + allowedUnique},
-		{`{"services": [` + strings.Replace(wholeService, "0.4", "2", 1) + `]}`, `services[0].maxEjected: found 2, allowed: 0 to 0.9`},
+		{`{"contracts": [` + validContract + `], "deleteContracts": ["clinic"]}`, `deleteContracts[0]: found "clinic", allowed: ` + allowedUnique},
+		{`{"contracts": [` + validContract + `,` + hall + `]}`, `contracts[1].hosts[0]: found "clinic.example", allowed: a host that clinic doesn't claim`},
+		{`{"services": [` + validService + `,` + validService + `]}`, `services[1].name: found "foglalas", allowed: ` + allowedUnique},
+		{`{"services": [` + strings.Replace(validService, "0.4", "2", 1) + `]}`, `services[0].maxEjected: found 2, allowed: 0 to 0.9`},
 	}
 	for _, c := range cases {
 		_, err := ParseDocument([]byte(c.doc))
@@ -157,9 +157,9 @@
 }
 
 func FuzzParseContract(f *testing.F) {
-	f.Add([]byte(wholeContract))
-	f.Add([]byte(wholeService))
-	f.Add([]byte(`{"contracts": [` + wholeContract + `], "services": [{}], "deleteContracts": [""]}`))
+	f.Add([]byte(validContract))
+	f.Add([]byte(validService))
+	f.Add([]byte(`{"contracts": [` + validContract + `], "services": [{}], "deleteContracts": [""]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if c, err := ParseContract(b); err == nil {
 			must.NoError(t, c.Validate())
--- a/state/model/validate.go
+++ b/state/model/validate.go
@@ -22,9 +22,9 @@
 	methods = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 )
 
-// Validate checks the contract by itself and returns all faults as a
-// strictjson.Faults, nil when there is none. Whether the services of its routes
-// exist is checked by the snapshot.
+// Validate checks the contract and returns all faults as a strictjson.Faults,
+// nil when there is none. It does not check that the services of the routes
+// exist; the snapshot does.
 func (c *Contract) Validate() error { return c.faults().Err() }
 
 func (c *Contract) faults() strictjson.Faults {
@@ -57,7 +57,7 @@
 }
 
 func (k *checker) rate(path string, r *Rate) {
-	// The comparison is false for not-a-number.
+	// The comparison is false for NaN.
 	if !(r.PerSecond > 0 && r.PerSecond <= MaxRequests) {
 		k.faults.AddValue(path+".perSecond", r.PerSecond, fmt.Sprintf("more than 0, at most %d", MaxRequests))
 	}
@@ -100,8 +100,8 @@
 		k.faults.AddValue(path+".repeatable", true, "false for a class of kind non-repeatable")
 	}
 	if class.RetryBudget != nil {
-		k.share(path+".retryBudget.ratio", class.RetryBudget.Ratio, 1)
-		k.share(path+".retryBudget.minPerSecond", class.RetryBudget.MinPerSecond, MaxRetriesPerSecond)
+		k.fraction(path+".retryBudget.ratio", class.RetryBudget.Ratio, 1)
+		k.fraction(path+".retryBudget.minPerSecond", class.RetryBudget.MinPerSecond, MaxRetriesPerSecond)
 	}
 }
 
--- a/state/model/validate_service.go
+++ b/state/model/validate_service.go
@@ -26,12 +26,12 @@
 	k.duration("slowStart", s.SlowStart, 0, MaxSlowStart)
 	k.probe(s)
 	k.within("olderSlots", s.OlderSlots, 0, MaxQueueLength)
-	k.share("maxEjected", s.MaxEjected, MaxEjectedShare)
+	k.fraction("maxEjected", s.MaxEjected, MaxEjectedShare)
 	k.within("queueLength", s.QueueLength, 0, MaxQueueLength)
 	return k.faults
 }
 
-// probe checks that path and interval come together.
+// probe checks the probe path and interval, which must be set together.
 func (k *checker) probe(s *Service) {
 	switch {
 	case s.ProbePath == "" && s.ProbeInterval == 0:
--- a/state/strictjson/decode.go
+++ b/state/strictjson/decode.go
@@ -7,24 +7,25 @@
 	"strings"
 )
 
-// Defaulter is implemented by pointers to structs that an optional pointer
-// field holds. SetDefaults is called before the object is decoded into it.
+// Defaulter is implemented by the pointer type of an optional field whose
+// struct has defaults. Decode calls SetDefaults on the new struct before it
+// decodes the object into it.
 type Defaulter interface {
-	// SetDefaults fills in the defaults.
+	// SetDefaults sets each field that has a default to it.
 	SetDefaults()
 }
 
-// Explainer is implemented by errors of UnmarshalJSON that can say what the
-// type accepts.
+// Explainer is implemented by errors of UnmarshalJSON that describe the values
+// which the type accepts. Decode reports this description as Fault.Allowed.
 type Explainer interface {
-	// Allowed says what a document may hold.
+	// Allowed describes the accepted values.
 	Allowed() string
 }
 
-// Decode reads the document b into the struct that into points at and returns
-// all faults, none when b is whole. A field must be present unless its json
-// tag has omitempty or omitzero; an absent one keeps the value it had. After a
-// fault the struct holds what could be decoded.
+// Decode decodes the document b into the struct that into points to and
+// returns all faults, none when b is valid. A field is required unless its
+// json tag has omitempty or omitzero; an absent field keeps its previous value.
+// When there are faults, the struct holds the values that could be decoded.
 func Decode(b []byte, into any) Faults {
 	var faults Faults
 	n, ok := parse(b, &faults)
@@ -36,8 +37,8 @@
 	return faults
 }
 
-// Keys returns the keys of the document's outermost object in order, nil when
-// b is no JSON object.
+// Keys returns the keys of the document's outermost object in the order of the
+// text, or nil when b is not a JSON object.
 func Keys(b []byte) []string {
 	var ignored Faults
 	n, ok := parse(b, &ignored)
@@ -51,11 +52,13 @@
 	return keys
 }
 
+// decoder stores the parsed tree of a document in Go values and collects the
+// faults.
 type decoder struct {
 	faults *Faults
 }
 
-// decode stores n in v or reports why it can't.
+// decode stores n in v, or adds a fault when n does not fit v's type.
 func (d *decoder) decode(n node, v reflect.Value, path string) {
 	if u, ok := v.Addr().Interface().(json.Unmarshaler); ok {
 		d.unmarshal(n, u, path)
@@ -76,13 +79,14 @@
 		}
 	case reflect.Bool:
 		if d.expect(n, kindBool, path) {
-			v.SetBool(n.truth)
+			v.SetBool(n.boolean)
 		}
 	default:
 		d.number(n, v, path)
 	}
 }
 
+// expect reports whether n is of the kind want, and adds a fault if it isn't.
 func (d *decoder) expect(n node, want nodeKind, path string) bool {
 	if n.kind == want {
 		return true
@@ -125,7 +129,7 @@
 	}
 }
 
-// mapping stores an object in a map with string keys.
+// mapping stores the object n in v, a map with string keys.
 func (d *decoder) mapping(n node, v reflect.Value, path string) {
 	if !d.expect(n, kindObject, path) {
 		return
@@ -161,8 +165,8 @@
 	}
 }
 
-// number stores n in an integer or floating point value. Integers take no
-// fraction and no exponent.
+// number stores n in v, an integer or a floating-point number. An integer must
+// be written without a fraction or an exponent.
 func (d *decoder) number(n node, v reflect.Value, path string) {
 	switch {
 	case v.CanInt():
@@ -191,13 +195,14 @@
 	}
 }
 
-// member is a struct field that JSON may set.
+// member is a struct field that a document may set.
 type member struct {
 	key      string
 	index    int
 	required bool
 }
 
+// membersOf returns the exported fields of t that have a JSON key.
 func membersOf(t reflect.Type) []member {
 	var ms []member
 	for i := range t.NumField() {
@@ -221,7 +226,8 @@
 	return member{}, false
 }
 
-// allowedKeys names the key that differs in case only, or else all keys.
+// allowedKeys returns the member's key that differs from key in case only, or
+// else a list of all keys.
 func allowedKeys(members []member, key string) string {
 	all := make([]string, len(members))
 	for i, m := range members {
--- a/state/strictjson/decode_test.go
+++ b/state/strictjson/decode_test.go
@@ -44,7 +44,7 @@
 	Base map[string]uint64 `json:"base,omitempty"`
 }
 
-func TestDecodeWholeDocument(t *testing.T) {
+func TestDecodeValidDocument(t *testing.T) {
 	o := outer{Count: 5}
 	faults := Decode([]byte(`{"title":"é\n","size":255,"on":true,"even":4,"items":[{"name":"a","rate":1.5e2}],"opt":{"name":"b"},"base":{"x":7}}`), &o)
 	must.NoError(t, faults.Err())
@@ -104,10 +104,10 @@
 
 	bad := `{"title":"a","items":[` + strings.Repeat("1,", 2*MaxFaults) + `"` + strings.Repeat("é", maxFound) + `"]}`
 	must.Len(t, MaxFaults, Decode([]byte(bad), new(outer)))
-	must.Eq(t, "x"+strings.Repeat("é", 39)+"...", cut("x"+strings.Repeat("é", maxFound)))
+	must.Eq(t, "x"+strings.Repeat("é", 39)+"...", truncate("x"+strings.Repeat("é", maxFound)))
 }
 
-func TestMergeDropsWhatIsCovered(t *testing.T) {
+func TestMergeDropsCoveredFaults(t *testing.T) {
 	faults := Faults{{Path: "routes[1]"}, {Path: "rate"}}
 	faults.Merge(Faults{{Path: "routes[1].name"}, {Path: "rate"}, {Path: "rates"}, {Path: "routes[10]"}})
 	must.Eq(t, Faults{{Path: "routes[1]"}, {Path: "rate"}, {Path: "rates"}, {Path: "routes[10]"}}, faults)
--- a/state/strictjson/fault.go
+++ b/state/strictjson/fault.go
@@ -6,17 +6,17 @@
 	"unicode/utf8"
 )
 
-// maxFound is the length in bytes at which a Fault's Found is cut off.
+// maxFound is the length in bytes to which Fault.Found is truncated.
 const maxFound = 80
 
-// Fault is one thing wrong with a document.
+// Fault is one error in a document.
 type Fault struct {
-	// Path leads to the value, such as routes[2].service. It is empty for the
-	// document as a whole.
+	// Path locates the value, for example routes[2].service. It is empty for
+	// the document as a whole.
 	Path string `json:"path"`
-	// Found is what the document holds there.
+	// Found is the text found at Path, or a description of it.
 	Found string `json:"found"`
-	// Allowed says what it may hold.
+	// Allowed describes the values allowed at Path.
 	Allowed string `json:"allowed"`
 }
 
@@ -29,11 +29,11 @@
 	return path + ": found " + f.Found + ", allowed: " + f.Allowed
 }
 
-// Faults are all faults of one document, in order of discovery. As an error it
-// is never empty.
+// Faults are the faults of one document in order of discovery. Err turns them
+// into an error, which is never empty.
 type Faults []Fault
 
-// Error implements error: one fault a line.
+// Error implements error. It returns one line for each fault.
 func (fs Faults) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
@@ -42,7 +42,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns fs as an error, or nil when there is no fault.
+// Err returns fs as an error, or nil when fs is empty.
 func (fs Faults) Err() error {
 	if len(fs) == 0 {
 		return nil
@@ -50,16 +50,16 @@
 	return fs
 }
 
-// Add appends a fault. After MaxFaults it drops further ones. Found is cut off
-// at 80 bytes.
+// Add appends a fault, unless fs has MaxFaults already. It truncates found to
+// 80 bytes.
 func (fs *Faults) Add(path, found, allowed string) {
 	if len(*fs) >= MaxFaults {
 		return
 	}
-	*fs = append(*fs, Fault{Path: path, Found: cut(found), Allowed: allowed})
+	*fs = append(*fs, Fault{Path: path, Found: truncate(found), Allowed: allowed})
 }
 
-// AddValue appends a fault whose found value is shown as in JSON.
+// AddValue appends a fault whose Found is the value found, with strings quoted.
 func (fs *Faults) AddValue(path string, found any, allowed string) {
 	if s, ok := found.(string); ok {
 		fs.Add(path, fmt.Sprintf("%q", s), allowed)
@@ -68,8 +68,9 @@
 	fs.Add(path, fmt.Sprint(found), allowed)
 }
 
-// Merge appends those of others whose path is not at or below a path of fs: a
-// value that could not be decoded isn't reported a second time.
+// Merge appends the faults of others, except those whose path is equal to or
+// below the path of a fault in fs. So validation does not report a value a
+// second time that could not be decoded.
 func (fs *Faults) Merge(others Faults) {
 	known := *fs
 	for _, o := range others {
@@ -79,6 +80,7 @@
 	}
 }
 
+// cover reports whether path is equal to or below the path of a fault in fs.
 func (fs Faults) cover(path string) bool {
 	for _, f := range fs {
 		if f.Path == path || f.Path == "" {
@@ -92,7 +94,9 @@
 	return false
 }
 
-func cut(s string) string {
+// truncate returns s, shortened to at most maxFound bytes at a character's
+// boundary and marked with dots if it is longer.
+func truncate(s string) string {
 	if len(s) <= maxFound {
 		return s
 	}
--- a/state/strictjson/parse.go
+++ b/state/strictjson/parse.go
@@ -8,7 +8,7 @@
 	"unicode/utf8"
 )
 
-// nodeKind is the JSON type of a node.
+// nodeKind is the JSON type of a node, worded as in a Fault's Allowed.
 type nodeKind string
 
 const (
@@ -23,13 +23,13 @@
 // node is one value of a parsed document.
 type node struct {
 	kind nodeKind
-	// raw is the value's own text.
+	// raw is the value as JSON text, for a Fault's Found.
 	raw []byte
-	// text is the value of a string or the digits of a number.
-	text   string
-	truth  bool
-	fields []field
-	items  []node
+	// text is the value of a string, or a number as it is written.
+	text    string
+	boolean bool
+	fields  []field
+	items   []node
 }
 
 // field is one member of an object.
@@ -38,17 +38,19 @@
 	value node
 }
 
-// parser builds the tree of a document whose syntax was checked.
+// parser builds the tree of nodes of a document whose syntax is known to be
+// valid.
 type parser struct {
 	src    []byte
 	dec    *json.Decoder
 	faults *Faults
-	// values counts the values parsed.
+	// values is the number of values parsed so far.
 	values int
 }
 
-// parse returns the document's tree, or false after a fault that leaves
-// nothing to decode: size, encoding or syntax.
+// parse returns the root node of the document b. It returns false when b can't
+// be decoded at all: it is too large, isn't valid UTF-8, has a syntax error or
+// exceeds one of the limits.
 func parse(b []byte, faults *Faults) (node, bool) {
 	if len(b) > MaxSize {
 		faults.Add("", fmt.Sprintf("%d bytes", len(b)), fmt.Sprintf("at most %d bytes", MaxSize))
@@ -58,8 +60,8 @@
 		faults.Add("", "bytes that are not UTF-8", "JSON in UTF-8")
 		return node{}, false
 	}
-	// Unmarshal checks the whole text, trailing data included, before it
-	// stores anything; walking the tokens can't fail afterwards.
+	// Unmarshal checks the syntax of the whole text, trailing data included,
+	// so that reading its tokens can't fail afterwards.
 	var raw json.RawMessage
 	if err := json.Unmarshal(b, &raw); err != nil {
 		faults.Add("", syntaxFound(b, err), "one JSON document")
@@ -71,7 +73,7 @@
 	return p.value("", 0)
 }
 
-// syntaxFound says where the syntax breaks.
+// syntaxFound describes a syntax error and the line where it occurs.
 func syntaxFound(b []byte, err error) string {
 	se, ok := err.(*json.SyntaxError)
 	if !ok {
@@ -81,8 +83,9 @@
 	return fmt.Sprintf("%s in line %d", se.Error(), line)
 }
 
-// value parses the next value. It returns false when the document exceeds a
-// limit, which ends the parse.
+// value parses the next value, which lies at path and is enclosed by depth
+// arrays and objects. It returns false when the document exceeds a limit;
+// parsing ends there.
 func (p *parser) value(path string, depth int) (node, bool) {
 	p.values++
 	if p.values > MaxValues {
@@ -103,13 +106,14 @@
 	case json.Number:
 		return node{kind: kindNumber, text: t.String(), raw: []byte(t)}, true
 	case bool:
-		return node{kind: kindBool, truth: t, raw: []byte(strconv.FormatBool(t))}, true
+		return node{kind: kindBool, boolean: t, raw: []byte(strconv.FormatBool(t))}, true
 	default:
 		return node{kind: kindNull, raw: []byte("null")}, true
 	}
 }
 
-// compound parses the object or array that begins at start.
+// compound parses the object or array whose opening bracket stands at the byte
+// offset start.
 func (p *parser) compound(open json.Delim, path string, depth int, start int64) (node, bool) {
 	if depth > MaxNesting {
 		p.faults.Add(path, fmt.Sprintf("%d levels", depth), fmt.Sprintf("at most %d levels of nesting", MaxNesting))
@@ -168,18 +172,20 @@
 	return true
 }
 
+// tooMany adds the fault of an array or object with too many elements. It
+// returns false, as the parse ends there.
 func (p *parser) tooMany(path string) bool {
 	p.faults.Add(path, fmt.Sprintf("more than %d elements", MaxElements), fmt.Sprintf("at most %d elements", MaxElements))
 	return false
 }
 
-// quote returns s as JSON.
+// quote returns s as a JSON string.
 func quote(s string) []byte {
 	b, _ := json.Marshal(s) // a string always encodes
 	return b
 }
 
-// Join returns the path of an object's member.
+// Join returns the path of the member key of the object at path.
 func Join(path, key string) string {
 	if path == "" {
 		return key
@@ -187,5 +193,5 @@
 	return path + "." + key
 }
 
-// Index returns the path of an array's element.
+// Index returns the path of element i of the array at path.
 func Index(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
