--- a/state/suspect/table.go
+++ b/state/suspect/table.go
@@ -147,8 +147,9 @@
 // the clocks of hosts differ and step by seconds.
 const maxClockLead = time.Minute
 
-// Merge adds the evidence of another table's entry and reports whether the table changed.
-// It ignores crashes older than Quarantine, and removes the entry if it is outdated.
+// Merge adds the evidence of another table's entry and reports whether any of it is new.
+// It ignores crashes older than Quarantine. If the merged entry is outdated, Merge removes
+// it and returns false.
 func (t *Table) Merge(now time.Time, e Entry) bool {
 	if e.Fingerprint == 0 {
 		return false
