--- a/transport/security/authority.go
+++ b/transport/security/authority.go
@@ -13,21 +13,23 @@
 	"github.com/pkg/errors"
 )
 
-// clockSkew is how long before its issue a certificate is already valid, so
-// that a host whose clock is behind accepts it.
+// clockSkew is how far NotBefore lies before the time of issue, so that a host
+// whose clock is behind accepts a new certificate.
 const clockSkew = 5 * time.Minute
 
-// serialBits is the size of a random serial number.
+// serialBits is the size of a random serial number, in bits.
 const serialBits = 127
 
-// Authority is a site's certificate authority.
+// Authority is a site's certificate authority. It issues the certificates of
+// the site's nodes and operators.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
 // NewAuthority creates a certificate authority with a new ECDSA P-256 key. Its
-// certificate is valid from now for the given time.
+// certificate expires at now plus validity. The error is a *NameError when the
+// site's name is not allowed in a certificate.
 func NewAuthority(site string, now time.Time, validity time.Duration) (*Authority, error) {
 	if !validName(site) {
 		return nil, &NameError{Name: site}
@@ -55,9 +57,8 @@
 func (a *Authority) Certificate() []byte { return encodePEM(blockCertificate, a.cert.Raw) }
 
 // Issue creates a new key and a certificate for the identity, both in PEM. The
-// certificate is valid from now for the given time, but no longer than the
-// authority. It returns a *NameError for a name that can't stand in a
-// certificate.
+// certificate expires at now plus validity, but no later than the authority's
+// own. The error is a *NameError when the name is not allowed in a certificate.
 func (a *Authority) Issue(id Identity, now time.Time, validity time.Duration) (cert, key []byte, err error) {
 	if !validName(id.Name) {
 		return nil, nil, &NameError{Name: id.Name}
@@ -105,7 +106,8 @@
 	}, nil
 }
 
-// sign signs the template with the issuer's key and reads the result back.
+// sign signs the template with the issuer's key and returns the parsed
+// certificate. The certificate is for the public part of subject.
 func sign(template, issuer *x509.Certificate, subject, key *ecdsa.PrivateKey) (*x509.Certificate, error) {
 	der, err := x509.CreateCertificate(rand.Reader, template, issuer, subject.Public(), key)
 	if err != nil {
--- a/transport/security/doc.go
+++ b/transport/security/doc.go
@@ -4,10 +4,10 @@
 //
 // A certificate's identity is its URI, "jacinthgate:node/<id>" or
 // "jacinthgate:operator/<name>". A node's certificate also carries the node id
-// as its only DNS name. Nodes reach each other by IP number, so host names are
-// not checked; the identity is.
+// as its only DNS name. Nodes connect to each other by IP address, so the TLS
+// configurations check the identity instead of a host name.
 //
-// Certificates are checked when a connection is made. A connection that is
-// open when a certificate expires or a certificate authority is withdrawn
-// stays open until one side closes it.
+// Certificates are checked only in the TLS handshake. A connection that is open
+// when a certificate expires or a certificate authority is removed stays open
+// until one side closes it.
 package security
--- a/transport/security/ephemeral.go
+++ b/transport/security/ephemeral.go
@@ -7,19 +7,21 @@
 	"github.com/pkg/errors"
 )
 
-// ephemeralValidity is far beyond the life of a process.
+// ephemeralValidity is far longer than any process runs.
 const ephemeralValidity = 10 * 365 * 24 * time.Hour
 
-// ephemeralName is the name in the certificate of insecure mode.
+// ephemeralName is the name of the authority and of the node in the
+// certificates of insecure mode.
 const ephemeralName = "ephemeral"
 
-// Insecure gives TLS configurations that encrypt but check no identity. It is
-// for trials; a node uses it only when its settings say "insecure".
+// Insecure provides TLS configurations that encrypt but verify no identity. It
+// is for trials; a node uses it only when "insecure" is set in its settings.
 type Insecure struct {
 	cert tls.Certificate
 }
 
-// Ephemeral creates a key and a self-signed certificate in memory.
+// Ephemeral creates, in memory only, a key and a certificate issued by a
+// throwaway authority.
 func Ephemeral() (*Insecure, error) {
 	a, err := NewAuthority(ephemeralName, time.Now(), ephemeralValidity)
 	if err != nil {
@@ -37,7 +39,8 @@
 	return &Insecure{cert: pair}, nil
 }
 
-// ServerConfig returns a configuration that accepts everyone.
+// ServerConfig returns a configuration that accepts every client, with or
+// without a certificate.
 func (i *Insecure) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
--- a/transport/security/errors.go
+++ b/transport/security/errors.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// StrangerError refuses a certificate that no known certificate authority
-// issued, or the lack of a certificate.
+// StrangerError reports a peer that is refused because it presented no
+// certificate, or one that does not verify against the accepted authorities.
 type StrangerError struct {
 	// Subject is the certificate's common name; empty when there is none.
 	Subject string
@@ -25,11 +25,12 @@
 // Unwrap returns the verifier's error.
 func (e *StrangerError) Unwrap() error { return e.Err }
 
-// ExpiredError refuses a certificate outside its time of validity.
+// ExpiredError reports a certificate that is refused because it has expired or
+// is not yet valid.
 type ExpiredError struct {
 	// Subject is the certificate's common name.
 	Subject string
-	// NotBefore and NotAfter bound the time of validity.
+	// NotBefore and NotAfter bound the validity period.
 	NotBefore, NotAfter time.Time
 	// Now is the time of the check.
 	Now time.Time
@@ -38,13 +39,13 @@
 // Error implements error.
 func (e *ExpiredError) Error() string {
 	return fmt.Sprintf("certificate of %q is valid from %s to %s, not at %s", e.Subject,
-		stamp(e.NotBefore), stamp(e.NotAfter), stamp(e.Now))
+		formatTime(e.NotBefore), formatTime(e.NotAfter), formatTime(e.Now))
 }
 
-func stamp(t time.Time) string { return t.UTC().Format(time.RFC3339) }
+func formatTime(t time.Time) string { return t.UTC().Format(time.RFC3339) }
 
-// RoleError refuses a certificate of this site that is of the wrong role, or
-// that has no role at all.
+// RoleError reports a certificate that is refused because it has another role
+// than required, or none.
 type RoleError struct {
 	// Subject is the certificate's common name.
 	Subject string
@@ -59,12 +60,12 @@
 	return fmt.Sprintf("certificate of %q has role %q: want %q", e.Subject, e.Have, e.Want)
 }
 
-// WrongNodeError refuses a node's certificate that names another node than the
-// one expected.
+// WrongNodeError reports a node's certificate that is refused because it was
+// issued to another node than the expected one.
 type WrongNodeError struct {
-	// Have is the node that the certificate names.
+	// Have is the id of the node in the certificate.
 	Have string
-	// Want is the expected node.
+	// Want is the id of the expected node.
 	Want string
 }
 
@@ -87,18 +88,18 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// FormatError reports content that is not what it should be.
+// FormatError reports file content of another kind than expected.
 type FormatError struct {
-	// Want says what was expected.
+	// Want describes the expected content.
 	Want string
 }
 
 // Error implements error.
 func (e *FormatError) Error() string { return "want " + e.Want }
 
-// NameError refuses a name that can't stand in a certificate.
+// NameError reports a name that is not allowed in a certificate.
 type NameError struct {
-	// Name is the refused name.
+	// Name is the invalid name.
 	Name string
 }
 
@@ -107,8 +108,8 @@
 	return fmt.Sprintf("name %q: want 1 to 63 letters, digits, '-', '_' or '.'", e.Name)
 }
 
-// ReloadError reports new files that were not taken over. The files loaded
-// before stay in use.
+// ReloadError reports that Keys could not reload its files. The content loaded
+// before stays in use.
 type ReloadError struct {
 	// Err is the cause.
 	Err error
--- a/transport/security/files.go
+++ b/transport/security/files.go
@@ -9,7 +9,8 @@
 const (
 	// AuthorityFile holds the certificates of the site's authorities.
 	AuthorityFile = "ca.pem"
-	// AuthorityKeyFile holds the authority's key; it stays with the operator.
+	// AuthorityKeyFile holds the authority's key. It is not copied to nodes;
+	// the operator keeps it.
 	AuthorityKeyFile = "ca-key.pem"
 	// CertificateFile holds an issued certificate.
 	CertificateFile = "cert.pem"
@@ -17,25 +18,26 @@
 	KeyFile = "key.pem"
 )
 
-// CertificateInfo describes one certificate of a file.
+// CertificateInfo describes one certificate of a PEM file for the operator.
 type CertificateInfo struct {
 	// Subject is the common name.
 	Subject string `json:"subject"`
-	// Role is the role; empty for an authority or a foreign certificate.
+	// Role is the role; empty for an authority and for a certificate without a
+	// valid identity.
 	Role Role `json:"role,omitempty"`
-	// Name is the node id or operator's name; empty like Role.
+	// Name is the node id or the operator's name; empty when Role is.
 	Name string `json:"name,omitempty"`
 	// Authority is set for a certificate authority.
 	Authority bool `json:"authority"`
 	// Serial is the serial number, in hexadecimal.
 	Serial string `json:"serial"`
-	// NotBefore and NotAfter bound the time of validity.
+	// NotBefore and NotAfter bound the validity period.
 	NotBefore time.Time `json:"notBefore"`
 	NotAfter  time.Time `json:"notAfter"`
 }
 
-// InitAuthority creates a certificate authority in dir. It returns a
-// *FileError when there already is one.
+// InitAuthority creates a certificate authority for the site and writes its
+// key and certificate to dir. It returns a *FileError if dir already holds one.
 func InitAuthority(dir, site string, validity time.Duration) error {
 	a, err := NewAuthority(site, time.Now(), validity)
 	if err != nil {
@@ -51,14 +53,14 @@
 	return createFile(filepath.Join(dir, AuthorityFile), a.Certificate())
 }
 
-// IssueNode issues a certificate for the node id by the authority in dir. It
-// writes the files ca.pem, cert.pem and key.pem to the directory out,
-// replacing those of an earlier issue.
+// IssueNode issues a certificate for the node id, signed by the authority in
+// dir. It writes ca.pem, cert.pem and key.pem to the directory out, replacing
+// files written there before.
 func IssueNode(dir, id, out string, validity time.Duration) error {
 	return issueFiles(dir, Identity{Role: RoleNode, Name: id}, out, validity)
 }
 
-// IssueOperator issues a certificate for an operator, like IssueNode.
+// IssueOperator is like IssueNode, but issues a certificate for an operator.
 func IssueOperator(dir, name, out string, validity time.Duration) error {
 	return issueFiles(dir, Identity{Role: RoleOperator, Name: name}, out, validity)
 }
@@ -81,9 +83,9 @@
 	return writeFile(filepath.Join(out, CertificateFile), cert)
 }
 
-// loadAuthority reads the authority in dir. During a rotation ca.pem holds
-// several certificates; the one that belongs to the key issues. It also
-// returns the whole content of ca.pem.
+// loadAuthority returns the authority in dir and the whole content of ca.pem.
+// During a rotation ca.pem holds several certificates; the authority is the one
+// whose public key matches the key file.
 func loadAuthority(dir string) (*Authority, []byte, error) {
 	file := filepath.Join(dir, AuthorityFile)
 	content, err := readFile(file)
@@ -111,7 +113,8 @@
 	return nil, nil, &FileError{File: file, Err: &FormatError{Want: "the certificate of the authority's key"}}
 }
 
-// Describe lists the certificates of a PEM file.
+// Describe returns the certificates of a PEM file, in the order of the file. It
+// does not verify them.
 func Describe(file string) ([]CertificateInfo, error) {
 	content, err := readFile(file)
 	if err != nil {
@@ -123,7 +126,7 @@
 	}
 	infos := make([]CertificateInfo, 0, len(certs))
 	for _, cert := range certs {
-		id, _ := IdentityOf(cert) // an authority has none
+		id, _ := IdentityOf(cert) // an authority has no identity
 		infos = append(infos, CertificateInfo{
 			Subject:   cert.Subject.CommonName,
 			Role:      id.Role,
--- a/transport/security/identity.go
+++ b/transport/security/identity.go
@@ -8,7 +8,7 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// Role says what a certificate may be used for.
+// Role is the use that a certificate is issued for.
 type Role string
 
 // The roles.
@@ -22,7 +22,8 @@
 // scheme is the scheme of the identity URI.
 const scheme = "jacinthgate"
 
-// Identity is what a certificate says of its owner.
+// Identity is the role and name of a certificate's owner, as the certificate
+// states them in its URI.
 type Identity struct {
 	// Role is the owner's role.
 	Role Role
@@ -30,13 +31,13 @@
 	Name string
 }
 
-// URI returns the identity as it stands in the certificate.
+// URI returns the URI that encodes the identity in a certificate.
 func (id Identity) URI() *url.URL {
 	return &url.URL{Scheme: scheme, Opaque: string(id.Role) + "/" + id.Name}
 }
 
-// IdentityOf reads the identity of a certificate. It does not verify the
-// certificate. It returns a *RoleError when there is none.
+// IdentityOf returns the identity in a certificate, which it does not verify.
+// The error is a *RoleError when the certificate has no valid identity.
 func IdentityOf(cert *x509.Certificate) (Identity, error) {
 	for _, uri := range cert.URIs {
 		if uri.Scheme != scheme {
@@ -52,7 +53,7 @@
 	return Identity{}, &RoleError{Subject: cert.Subject.CommonName}
 }
 
-// validName reports whether a name may stand in a certificate.
+// validName reports whether a name is allowed in a certificate.
 func validName(name string) bool {
 	if name == "" || len(name) > model.MaxNameLength {
 		return false
--- a/transport/security/keys.go
+++ b/transport/security/keys.go
@@ -13,32 +13,35 @@
 // Config configures Keys.
 type Config struct {
 	// AuthorityFile is the PEM file of the accepted authorities. It may hold
-	// several, so that one can replace another without an interruption.
+	// several, so that an authority can be rotated without an interruption.
 	AuthorityFile string
-	// CertificateFile is the PEM file of the own certificate.
+	// CertificateFile is the PEM file of this process's own certificate.
 	CertificateFile string
-	// KeyFile is the PEM file of the own key.
+	// KeyFile is the PEM file of the own certificate's private key.
 	KeyFile string
-	// Role is the role that the own certificate must have, so that a wrong
-	// file is found at the start and not by the peers.
+	// Role is the role that the own certificate must have. The check makes a
+	// wrong file fail at startup instead of in handshakes with peers.
 	Role Role
-	// Poll is the time between two looks at the files. Certificates are
-	// replaced days before they expire, so a slow poll does.
+	// Poll is the interval at which Run reads the files. It need not be short:
+	// certificates are replaced days before they expire.
 	Poll time.Duration
-	// OnRefused gets each refusal of a peer: *StrangerError, *ExpiredError,
-	// *RoleError or *WrongNodeError. It is called from any goroutine.
+	// OnRefused is called with the reason for each refused peer:
+	// *StrangerError, *ExpiredError, *RoleError or *WrongNodeError. It may be
+	// called from any goroutine.
 	OnRefused func(error)
-	// OnReload gets nil after new files were taken over, and a *ReloadError
-	// once for each new content that was not. It is called from Run.
+	// OnReload is called with nil after new content was loaded, and with a
+	// *ReloadError when a reload fails, once for each new fault. It is called
+	// from Reload, and so also from Run.
 	OnReload func(error)
-	// Now is the clock that certificates are checked against.
+	// Now returns the time against which certificates are checked.
 	Now func() time.Time
 }
 
-// defaultPoll is the default time between two looks at the files.
+// defaultPoll is the default of Config.Poll.
 const defaultPoll = 10 * time.Second
 
-// DefaultConfig returns a node's configuration without files.
+// DefaultConfig returns the configuration of a node; the paths of the files are
+// left empty.
 func DefaultConfig() Config {
 	return Config{
 		Role:      RoleNode,
@@ -49,14 +52,15 @@
 	}
 }
 
-// material is one consistent set of the three files. It is never changed.
+// material is what parse derives from one consistent set of the three files. It
+// is immutable.
 type material struct {
 	pool     *x509.CertPool
 	own      *tls.Certificate
 	identity Identity
 }
 
-// contents is what the files hold, as read.
+// contents holds the raw content of the three files.
 type contents struct {
 	authorities, cert, key []byte
 }
@@ -66,18 +70,20 @@
 	return sha256.Sum256(bytes.Join(parts, []byte{0}))
 }
 
-// Keys holds the own certificate and the accepted authorities and follows
-// their files. It is safe for concurrent use.
+// Keys holds the own certificate and the accepted authorities, reloads them when
+// their files change, and provides the TLS configurations that use them. It is
+// safe for concurrent use, except for Reload.
 type Keys struct {
 	cfg     Config
 	current atomic.Pointer[material]
-	// loaded is the hash of the content in use; reported names the fault that
-	// was reported since then. Only Load and Reload use them.
+	// loaded is the hash of the content in use; reported identifies the last
+	// fault reported, and is empty while the files are good. Only Load, Reload
+	// and report use them.
 	loaded   [sha256.Size]byte
 	reported string
 }
 
-// Load reads the files for the first time. The errors are *FileError,
+// Load creates Keys from the files of cfg. The errors are *FileError,
 // *StrangerError, *ExpiredError and *RoleError.
 func Load(cfg Config) (*Keys, error) {
 	k := &Keys{cfg: cfg}
@@ -100,7 +106,8 @@
 // NotAfter returns the end of the own certificate's validity.
 func (k *Keys) NotAfter() time.Time { return k.current.Load().own.Leaf.NotAfter }
 
-// Run looks at the files from time to time until ctx ends.
+// Run calls Reload at every interval Poll until ctx is done, and returns the
+// error of ctx.
 func (k *Keys) Run(ctx context.Context) error {
 	ticker := time.NewTicker(k.cfg.Poll)
 	defer ticker.Stop()
@@ -114,9 +121,9 @@
 	}
 }
 
-// Reload looks at the files once and takes over new content when all of it is
-// good; otherwise the old stays in use. The outcome goes to OnReload. It must
-// not be called from two goroutines at one time, Run included.
+// Reload reads the files once. It loads changed content if all of it is valid;
+// otherwise the content loaded before stays in use. It passes the outcome to
+// OnReload. It must not be called concurrently, nor while Run runs.
 func (k *Keys) Reload() {
 	read, err := k.read()
 	hash := read.hash()
@@ -138,9 +145,10 @@
 	k.cfg.OnReload(nil)
 }
 
-// report passes on a fault once, until the files are good again. A fault is a
-// file that can't be read, or one content. The content is tried again at each
-// look: a certificate may become valid later.
+// report passes err to OnReload, unless fault is the one reported last. fault
+// is the error text for a file that can't be read, and the hash of the content
+// for content that does not parse. Reload still parses the same content again
+// each time, since a certificate may become valid later.
 func (k *Keys) report(fault string, err error) {
 	if fault == k.reported {
 		return
@@ -162,8 +170,9 @@
 	return c, err
 }
 
-// parse checks that the files fit together: the key belongs to the
-// certificate, and a peer with the same authorities would accept it.
+// parse parses the files and checks that they match: the key belongs to the
+// certificate, and a peer with the same authorities would accept the
+// certificate.
 func (k *Keys) parse(c contents) (*material, error) {
 	authorities, err := parseCertificates(c.authorities)
 	if err != nil {
--- a/transport/security/pem.go
+++ b/transport/security/pem.go
@@ -16,7 +16,7 @@
 	blockKey         = "PRIVATE KEY"
 )
 
-// Modes of what is written: only the owner reads it.
+// Modes of the files and directories written: only the owner has access.
 const (
 	fileMode = 0o600
 	dirMode  = 0o700
@@ -34,7 +34,8 @@
 	return encodePEM(blockKey, der), nil
 }
 
-// parseCertificates reads all certificates of a PEM file; there must be one.
+// parseCertificates returns all certificates of a PEM file, skipping other
+// blocks. It returns a *FormatError if there are none.
 func parseCertificates(content []byte) ([]*x509.Certificate, error) {
 	var certs []*x509.Certificate
 	for {
@@ -82,8 +83,8 @@
 	return content, nil
 }
 
-// writeFile replaces a file as a whole: a reader sees the old or the new
-// content.
+// writeFile replaces a file atomically: a reader gets either the old or the
+// new content, never a part.
 func writeFile(file string, content []byte) error {
 	if err := replaceFile(file, content); err != nil {
 		return &FileError{File: file, Err: err}
@@ -114,7 +115,7 @@
 	return os.Rename(temp.Name(), file)
 }
 
-// createFile writes a file that must not exist yet.
+// createFile writes a new file. It returns a *FileError if the file exists.
 func createFile(file string, content []byte) error {
 	if err := os.MkdirAll(filepath.Dir(file), dirMode); err != nil {
 		return &FileError{File: file, Err: err}
--- a/transport/security/security_test.go
+++ b/transport/security/security_test.go
@@ -14,8 +14,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// place is a directory with an authority and one with a node's files.
-type place struct {
+// testSite is a site whose authority is in the directory ca, with a node whose
+// files are in out. It records what Keys reports; now is the clock of its Keys.
+type testSite struct {
 	t       *testing.T
 	ca, out string
 	now     time.Time
@@ -23,14 +24,14 @@
 	reloads []error
 }
 
-func newPlace(t *testing.T, id string) *place {
-	p := &place{t: t, ca: t.TempDir(), out: t.TempDir(), now: time.Now()}
+func newTestSite(t *testing.T, id string) *testSite {
+	p := &testSite{t: t, ca: t.TempDir(), out: t.TempDir(), now: time.Now()}
 	must.NoError(t, InitAuthority(p.ca, "site", time.Hour))
 	must.NoError(t, IssueNode(p.ca, id, p.out, time.Hour))
 	return p
 }
 
-func (p *place) config() Config {
+func (p *testSite) config() Config {
 	cfg := DefaultConfig()
 	cfg.AuthorityFile = filepath.Join(p.out, AuthorityFile)
 	cfg.CertificateFile = filepath.Join(p.out, CertificateFile)
@@ -41,40 +42,41 @@
 	return cfg
 }
 
-func (p *place) load() *Keys {
+func (p *testSite) load() *Keys {
 	p.t.Helper()
 	k, err := Load(p.config())
 	must.NoError(p.t, err)
 	return k
 }
 
-// handshake returns what each side says of the other. It runs over TCP: an
-// unbuffered pipe would block two alerts that cross.
+// handshake runs a TLS handshake and returns the error of each side. It uses
+// TCP, as on an unbuffered pipe both sides would block if they sent an alert at
+// the same time.
 func handshake(t *testing.T, server, client *tls.Config) (serverErr, clientErr error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
-	right, err := net.Dial("tcp", l.Addr().String())
+	clientConn, err := net.Dial("tcp", l.Addr().String())
 	must.NoError(t, err)
-	defer right.Close()
-	left, err := l.Accept()
+	defer clientConn.Close()
+	serverConn, err := l.Accept()
 	must.NoError(t, err)
-	defer left.Close()
+	defer serverConn.Close()
 	done := make(chan error, 1)
 	go func() {
-		done <- tls.Server(left, server).Handshake()
-		left.Close()
+		done <- tls.Server(serverConn, server).Handshake()
+		serverConn.Close()
 	}()
-	clientErr = tls.Client(right, client).Handshake()
+	clientErr = tls.Client(clientConn, client).Handshake()
 	if clientErr != nil {
-		right.Close()
+		clientConn.Close()
 	}
 	return <-done, clientErr
 }
 
 func TestNodesOfOneSiteAcceptEachOther(t *testing.T) {
-	p := newPlace(t, "node-1")
+	p := newTestSite(t, "node-1")
 	k := p.load()
 	must.Eq(t, Identity{Role: RoleNode, Name: "node-1"}, k.Identity())
 	serverErr, clientErr := handshake(t, k.ServerConfig(), k.ClientConfig("node-1"))
@@ -89,10 +91,10 @@
 }
 
 func TestRefusals(t *testing.T) {
-	p := newPlace(t, "node-1")
+	p := newTestSite(t, "node-1")
 	k := p.load()
-	stranger := newPlace(t, "node-1").load()
-	operator := &place{t: t, ca: p.ca, out: t.TempDir(), now: p.now}
+	untrusted := newTestSite(t, "node-1").load()
+	operator := &testSite{t: t, ca: p.ca, out: t.TempDir(), now: p.now}
 	must.NoError(t, IssueOperator(p.ca, "op", operator.out, time.Hour))
 	cfg := operator.config()
 	_, err := Load(cfg)
@@ -112,9 +114,9 @@
 		byServer       func(error) bool
 		byClient       func(error) bool
 	}{
-		{"stranger dials", k.ServerConfig(), ephemeralClient(stranger, ephemeral), is[*StrangerError], nil},
-		{"stranger answers", stranger.ServerConfig(), k.ClientConfig(""), nil, is[*StrangerError]},
-		{"ephemeral answers", ephemeral.ServerConfig(), k.ClientConfig(""), nil, is[*StrangerError]},
+		{"untrusted client", k.ServerConfig(), ephemeralClient(untrusted, ephemeral), is[*StrangerError], nil},
+		{"untrusted server", untrusted.ServerConfig(), k.ClientConfig(""), nil, is[*StrangerError]},
+		{"ephemeral server", ephemeral.ServerConfig(), k.ClientConfig(""), nil, is[*StrangerError]},
 		{"operator as node", k.ServerConfig(), op.ClientConfig(""), is[*RoleError], nil},
 		{"node as operator", k.OperatorServerConfig(), k.ClientConfig(""), is[*RoleError], nil},
 		{"other node", k.ServerConfig(), k.ClientConfig("node-2"), nil, is[*WrongNodeError]},
@@ -141,7 +143,8 @@
 	must.True(t, is[*ExpiredError](err))
 }
 
-// ephemeralClient accepts every server but shows the certificate of k.
+// ephemeralClient returns a client configuration that accepts every server but
+// presents the certificate of k.
 func ephemeralClient(k *Keys, e *Insecure) *tls.Config {
 	cfg := e.ClientConfig()
 	cfg.GetClientCertificate = k.ClientConfig("").GetClientCertificate
@@ -154,7 +157,7 @@
 }
 
 func TestRotationWithoutRestart(t *testing.T) {
-	p, q := newPlace(t, "node-1"), newPlace(t, "node-2")
+	p, q := newTestSite(t, "node-1"), newTestSite(t, "node-2")
 	k, other := p.load(), q.load()
 	accepts := func(want bool) {
 		t.Helper()
@@ -163,7 +166,7 @@
 	}
 	accepts(false)
 
-	// Both authorities are accepted; the certificates are still the old ones.
+	// Both nodes accept both authorities; their certificates are unchanged.
 	both := append(read(t, p.ca, AuthorityFile), read(t, q.ca, AuthorityFile)...)
 	must.NoError(t, writeFile(filepath.Join(p.ca, AuthorityFile), both))
 	must.NoError(t, writeFile(filepath.Join(p.out, AuthorityFile), both))
@@ -172,15 +175,15 @@
 	other.Reload()
 	accepts(true)
 
-	// A new certificate is issued by the authority whose key is in the
-	// directory, although the file holds both.
+	// The authority whose key is in the directory issues the new certificate,
+	// although the authority file holds both authorities.
 	before := k.current.Load().own.Leaf.SerialNumber
 	must.NoError(t, IssueNode(p.ca, "node-1", p.out, time.Hour))
 	k.Reload()
 	must.NotEq(t, before, k.current.Load().own.Leaf.SerialNumber)
 	accepts(true)
 
-	// The first authority is withdrawn: its certificates are refused.
+	// The first authority is removed: its certificates are refused.
 	must.NoError(t, writeFile(filepath.Join(q.out, AuthorityFile), read(t, q.ca, AuthorityFile)))
 	other.Reload()
 	accepts(false)
@@ -190,12 +193,12 @@
 	must.Eq(t, []error{nil, nil, nil}, p.reloads)
 }
 
-func TestBadNewFileIsKeptOut(t *testing.T) {
-	p := newPlace(t, "node-1")
+func TestReloadRejectsInvalidFiles(t *testing.T) {
+	p := newTestSite(t, "node-1")
 	k := p.load()
 	files := []string{AuthorityFile, CertificateFile, KeyFile}
-	bad := map[string][]byte{"garbage": []byte("x"), "empty": nil, "stranger's": read(t, newPlace(t, "node-1").out, CertificateFile)}
-	mixed := append(read(t, p.ca, AuthorityFile), read(t, newPlace(t, "node-2").out, CertificateFile)...)
+	bad := map[string][]byte{"garbage": []byte("x"), "empty": nil, "certificate of another site": read(t, newTestSite(t, "node-1").out, CertificateFile)}
+	mixed := append(read(t, p.ca, AuthorityFile), read(t, newTestSite(t, "node-2").out, CertificateFile)...)
 	bad["node among the authorities"] = mixed
 	for name, content := range bad {
 		for _, file := range files {
@@ -215,8 +218,8 @@
 		}
 	}
 
-	// An empty file, a missing one, and the same after a good one are
-	// different faults.
+	// An empty file and a missing file are different faults, and each is
+	// reported again after the file was valid in between.
 	p.reloads = nil
 	key := read(t, p.out, KeyFile)
 	for range 2 {
@@ -234,7 +237,7 @@
 
 func TestRunPolls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlace(t, "node-1")
+		p := newTestSite(t, "node-1")
 		k := p.load()
 		ctx, cancel := context.WithTimeout(t.Context(), defaultPoll+1)
 		defer cancel()
@@ -245,7 +248,7 @@
 }
 
 func TestAuthorityFiles(t *testing.T) {
-	p := newPlace(t, "node-1")
+	p := newTestSite(t, "node-1")
 	must.True(t, is[*FileError](InitAuthority(p.ca, "site", time.Hour)))
 	must.True(t, is[*NameError](IssueNode(p.ca, "a/b", p.out, time.Hour)))
 	must.True(t, is[*NameError](IssueOperator(p.ca, "", p.out, time.Hour)))
--- a/transport/security/verify.go
+++ b/transport/security/verify.go
@@ -8,8 +8,9 @@
 	"github.com/pkg/errors"
 )
 
-// verify checks a peer's chain against the pool at the time now and returns
-// the identity. The errors are *StrangerError, *ExpiredError and *RoleError.
+// verify checks a certificate chain, leaf first, against the authorities in
+// pool at the time now, and returns the identity in the leaf. The leaf must have
+// the role want. The errors are *StrangerError, *ExpiredError and *RoleError.
 func verify(chain []*x509.Certificate, pool *x509.CertPool, now time.Time, want Role) (Identity, error) {
 	if len(chain) == 0 {
 		return Identity{}, &StrangerError{}
@@ -35,7 +36,8 @@
 	return id, nil
 }
 
-// refusal turns the verifier's error into one of this package.
+// refusal converts the error of x509's verification of leaf to an
+// *ExpiredError or a *StrangerError.
 func refusal(leaf *x509.Certificate, now time.Time, err error) error {
 	var invalid x509.CertificateInvalidError
 	if errors.As(err, &invalid) && invalid.Reason == x509.Expired {
@@ -49,8 +51,9 @@
 	return &StrangerError{Subject: leaf.Subject.CommonName, Err: err}
 }
 
-// checkState verifies the peer of a TLS connection. An empty expect accepts
-// every name.
+// checkState verifies the peer's certificates on a TLS connection and reports a
+// refusal to OnRefused. The peer must have the role want and, unless expect is
+// empty, the name expect.
 func (k *Keys) checkState(state tls.ConnectionState, want Role, expect string) error {
 	current := k.current.Load()
 	id, err := verify(state.PeerCertificates, current.pool, k.cfg.Now(), want)
