--- a/transport/security/security_test.go
+++ b/transport/security/security_test.go
@@ -197,7 +197,7 @@
 	p := newTestSite(t, "node-1")
 	k := p.load()
 	files := []string{AuthorityFile, CertificateFile, KeyFile}
-	bad := map[string][]byte{"garbage": []byte("x"), "empty": nil, "certificate of another site": read(t, newTestSite(t, "node-1").out, CertificateFile)}
+	bad := map[string][]byte{"garbage": []byte("x"), "empty": nil, "stranger's": read(t, newTestSite(t, "node-1").out, CertificateFile)}
 	mixed := append(read(t, p.ca, AuthorityFile), read(t, newTestSite(t, "node-2").out, CertificateFile)...)
 	bad["node among the authorities"] = mixed
 	for name, content := range bad {
