--- a/internal/node/identity.go
+++ b/internal/node/identity.go
@@ -64,7 +64,7 @@
 // refusalReason names the type of a refusal for metrics and logs.
 func refusalReason(err error) string {
 	switch err.(type) {
-	case *security.StrangerError:
+	case *security.UntrustedError:
 		return "stranger"
 	case *security.ExpiredError:
 		return "expired"
--- a/transport/peer/quic/quic_test.go
+++ b/transport/peer/quic/quic_test.go
@@ -134,7 +134,7 @@
 	b := start(t, ca.config(t, "node-b"))
 	stranger := start(t, newAuthority(t).config(t, "node-a"))
 	_, err := stranger.Dial(t.Context(), b.Addr())
-	must.True(t, is[*security.StrangerError](err))
+	must.True(t, is[*security.UntrustedError](err))
 
 	// The server refuses a client that itself accepts any server certificate.
 	e, err := security.Ephemeral()
--- a/transport/security/errors.go
+++ b/transport/security/errors.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// StrangerError reports a peer that is refused because it presented no
+// UntrustedError reports a peer that is refused because it presented no
 // certificate, or one that does not verify against the accepted authorities.
-type StrangerError struct {
+type UntrustedError struct {
 	// Subject is the certificate's common name; empty when there is none.
 	Subject string
 	// Err is the verifier's error; nil when there was no certificate.
@@ -15,7 +15,7 @@
 }
 
 // Error implements error.
-func (e *StrangerError) Error() string {
+func (e *UntrustedError) Error() string {
 	if e.Err == nil {
 		return "peer has no certificate"
 	}
@@ -23,7 +23,7 @@
 }
 
 // Unwrap returns the verifier's error.
-func (e *StrangerError) Unwrap() error { return e.Err }
+func (e *UntrustedError) Unwrap() error { return e.Err }
 
 // ExpiredError reports a certificate that is refused because it has expired or
 // is not yet valid.
--- a/transport/security/keys.go
+++ b/transport/security/keys.go
@@ -26,7 +26,7 @@
 	// certificates are replaced days before they expire.
 	Poll time.Duration
 	// OnRefused is called with the reason for each refused peer:
-	// *StrangerError, *ExpiredError, *RoleError or *WrongNodeError. It may be
+	// *UntrustedError, *ExpiredError, *RoleError or *WrongNodeError. It may be
 	// called from any goroutine.
 	OnRefused func(error)
 	// OnReload is called with nil after new content was loaded, and with a
@@ -84,7 +84,7 @@
 }
 
 // Load creates Keys from the files of cfg. The errors are *FileError,
-// *StrangerError, *ExpiredError and *RoleError.
+// *UntrustedError, *ExpiredError and *RoleError.
 func Load(cfg Config) (*Keys, error) {
 	k := &Keys{cfg: cfg}
 	read, err := k.read()
--- a/transport/security/security_test.go
+++ b/transport/security/security_test.go
@@ -114,9 +114,9 @@
 		byServer       func(error) bool
 		byClient       func(error) bool
 	}{
-		{"untrusted client", k.ServerConfig(), ephemeralClient(untrusted, ephemeral), is[*StrangerError], nil},
-		{"untrusted server", untrusted.ServerConfig(), k.ClientConfig(""), nil, is[*StrangerError]},
-		{"ephemeral server", ephemeral.ServerConfig(), k.ClientConfig(""), nil, is[*StrangerError]},
+		{"untrusted client", k.ServerConfig(), ephemeralClient(untrusted, ephemeral), is[*UntrustedError], nil},
+		{"untrusted server", untrusted.ServerConfig(), k.ClientConfig(""), nil, is[*UntrustedError]},
+		{"ephemeral server", ephemeral.ServerConfig(), k.ClientConfig(""), nil, is[*UntrustedError]},
 		{"operator as node", k.ServerConfig(), op.ClientConfig(""), is[*RoleError], nil},
 		{"node as operator", k.OperatorServerConfig(), k.ClientConfig(""), is[*RoleError], nil},
 		{"other node", k.ServerConfig(), k.ClientConfig("node-2"), nil, is[*WrongNodeError]},
--- a/transport/security/verify.go
+++ b/transport/security/verify.go
@@ -10,10 +10,10 @@
 
 // verify checks a certificate chain, leaf first, against the authorities in
 // pool at the time now, and returns the identity in the leaf. The leaf must have
-// the role want. The errors are *StrangerError, *ExpiredError and *RoleError.
+// the role want. The errors are *UntrustedError, *ExpiredError and *RoleError.
 func verify(chain []*x509.Certificate, pool *x509.CertPool, now time.Time, want Role) (Identity, error) {
 	if len(chain) == 0 {
-		return Identity{}, &StrangerError{}
+		return Identity{}, &UntrustedError{}
 	}
 	leaf := chain[0]
 	intermediates := x509.NewCertPool()
@@ -37,7 +37,7 @@
 }
 
 // refusal converts the error of x509's verification of leaf to an
-// *ExpiredError or a *StrangerError.
+// *ExpiredError or a *UntrustedError.
 func refusal(leaf *x509.Certificate, now time.Time, err error) error {
 	var invalid x509.CertificateInvalidError
 	if errors.As(err, &invalid) && invalid.Reason == x509.Expired {
@@ -48,7 +48,7 @@
 			Now:       now,
 		}
 	}
-	return &StrangerError{Subject: leaf.Subject.CommonName, Err: err}
+	return &UntrustedError{Subject: leaf.Subject.CommonName, Err: err}
 }
 
 // checkState verifies the peer's certificates on a TLS connection and reports a
