--- a/internal/claims/batch.go
+++ b/internal/claims/batch.go
@@ -10,26 +10,29 @@
 	"github.com/jacinthgate/jacinthgate/state/store"
 )
 
-// job is one write that waits for its transaction.
+// job is a queued write and the channel on which its caller waits for the
+// result.
 type job struct {
 	write store.Write
-	// due is when the write goes out at the latest.
+	// due is the time at which the batch timer sends the write, if no earlier
+	// transaction has taken it.
 	due time.Time
-	// expires is when the write is given up unsent.
+	// expires is the time after which the write fails without being sent.
 	expires time.Time
 	done    chan result
 }
 
-// result is a job's result.
+// result is the outcome of a job: the item's new revision or an error.
 type result struct {
 	revision uint64
 	err      error
 }
 
-// batcher joins the conditional writes of one node into transactions. A write
-// that finds no transaction in flight goes out at once; others wait for the
-// end of the one in flight, at most BatchConfig.Wait. It is safe for
-// concurrent use.
+// batcher groups the conditional writes of one node into transactions. With no
+// transaction in flight, a claim is sent at once; otherwise it waits until a
+// transaction ends or the queue fills a batch, at most BatchConfig.Wait while
+// BatchConfig.InFlight allows another transaction. Lazy writes may wait up to
+// BatchConfig.LazyWait in either case. It is safe for concurrent use.
 type batcher struct {
 	cfg     BatchConfig
 	timeout time.Duration
@@ -45,8 +48,9 @@
 	return &batcher{cfg: cfg, timeout: timeout, table: table}
 }
 
-// write carries out one conditional write and returns the item's new
-// revision. The errors are those of store.Table.
+// write queues one conditional write, waits for its transaction and returns
+// the item's new revision. A lazy write may be delayed by BatchConfig.LazyWait
+// to share a transaction. The errors are those of store.Table.
 func (b *batcher) write(w store.Write, lazy bool) (uint64, error) {
 	j := &job{write: w, done: make(chan result, 1)}
 	now := time.Now()
@@ -74,16 +78,17 @@
 	if idle || len(b.queue) >= b.cfg.Max {
 		b.flush()
 	}
-	b.arm()
+	b.armTimer()
 	return true
 }
 
-// flush sends one batch unless too many are in flight. The caller holds mu.
+// flush starts the transaction of one batch unless BatchConfig.InFlight
+// transactions are in flight. The caller holds mu.
 func (b *batcher) flush() {
 	if b.inFlight >= b.cfg.InFlight {
 		return
 	}
-	batch := b.take(time.Now())
+	batch := b.takeBatch(time.Now())
 	if len(batch) == 0 {
 		return
 	}
@@ -91,19 +96,20 @@
 	go b.commit(batch)
 }
 
-// take removes the next batch from the queue: no item twice, since a
-// transaction can't hold two writes of one item. The caller holds mu.
-func (b *batcher) take(now time.Time) []*job {
+// takeBatch removes the next batch from the queue and fails the expired jobs.
+// A batch has at most one write per item, since a transaction can't hold two
+// writes of one item. The caller holds mu.
+func (b *batcher) takeBatch(now time.Time) []*job {
 	var batch, rest []*job
-	keys := make(map[string]bool)
+	batchKeys := make(map[string]bool)
 	for _, j := range b.queue {
 		switch {
 		case now.After(j.expires):
 			j.done <- result{err: &store.UnavailableError{Op: "transact", Err: &ExpiredError{}}}
-		case len(batch) >= b.cfg.Max || keys[j.write.Key]:
+		case len(batch) >= b.cfg.Max || batchKeys[j.write.Key]:
 			rest = append(rest, j)
 		default:
-			keys[j.write.Key] = true
+			batchKeys[j.write.Key] = true
 			batch = append(batch, j)
 		}
 	}
@@ -111,14 +117,15 @@
 	return batch
 }
 
-// arm sets the timer for the first write that is due. The caller holds mu.
-func (b *batcher) arm() {
+// armTimer sets the timer to the earliest due time in the queue. The caller
+// holds mu.
+func (b *batcher) armTimer() {
 	if b.timer != nil {
 		b.timer.Stop()
 		b.timer = nil
 	}
 	if len(b.queue) == 0 || b.inFlight >= b.cfg.InFlight {
-		return // the end of a transaction comes first
+		return // commit calls flush or armTimer when a transaction ends
 	}
 	due := b.queue[0].due
 	for _, j := range b.queue[1:] {
@@ -126,31 +133,32 @@
 			due = j.due
 		}
 	}
-	b.timer = time.AfterFunc(time.Until(due), b.wake)
+	b.timer = time.AfterFunc(time.Until(due), b.onTimer)
 }
 
-func (b *batcher) wake() {
+func (b *batcher) onTimer() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.flush()
-	b.arm()
+	b.armTimer()
 }
 
-// commit carries out one batch and starts the next.
+// commit runs the transaction of one batch and then, if shouldFlush reports
+// true, starts the next.
 func (b *batcher) commit(batch []*job) {
 	b.transact(batch)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.inFlight--
-	if b.urgent(time.Now()) {
+	if b.shouldFlush(time.Now()) {
 		b.flush()
 	}
-	b.arm()
+	b.armTimer()
 }
 
-// urgent reports whether a queued write is due within Wait. The caller holds
-// mu.
-func (b *batcher) urgent(now time.Time) bool {
+// shouldFlush reports whether a queued write is due within BatchConfig.Wait or
+// the queue fills a batch. The caller holds mu.
+func (b *batcher) shouldFlush(now time.Time) bool {
 	limit := now.Add(b.cfg.Wait)
 	for _, j := range b.queue {
 		if !j.due.After(limit) {
@@ -160,8 +168,9 @@
 	return len(b.queue) >= b.cfg.Max
 }
 
-// transact carries out a batch. A failed condition of one write refuses the
-// whole transaction, so the others are then written one by one.
+// transact runs a batch as one transaction. A failed condition of one write
+// fails the whole transaction; the other writes are then sent in transactions
+// of their own.
 func (b *batcher) transact(batch []*job) {
 	writes := make([]store.Write, len(batch))
 	for i, j := range batch {
@@ -170,9 +179,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), b.timeout)
 	revisions, err := b.table.Transact(ctx, writes)
 	cancel()
-	var refused *store.ConditionError
-	if len(batch) > 1 && errors.As(err, &refused) {
-		b.oneByOne(batch, refused)
+	var conflict *store.ConditionError
+	if len(batch) > 1 && errors.As(err, &conflict) {
+		b.writeSeparately(batch, conflict)
 		return
 	}
 	for i, j := range batch {
@@ -184,11 +193,11 @@
 	}
 }
 
-func (b *batcher) oneByOne(batch []*job, refused *store.ConditionError) {
+func (b *batcher) writeSeparately(batch []*job, conflict *store.ConditionError) {
 	var wg sync.WaitGroup
 	for _, j := range batch {
-		if j.write.Key == refused.Key {
-			j.done <- result{err: refused}
+		if j.write.Key == conflict.Key {
+			j.done <- result{err: conflict}
 			continue
 		}
 		wg.Go(func() { b.transact([]*job{j}) })
@@ -196,16 +205,16 @@
 	wg.Wait()
 }
 
-// QueueFullError reports a write refused because too many wait.
+// QueueFullError reports that a write was rejected because the queue is full.
 type QueueFullError struct {
-	// Limit is the largest number of writes that wait.
+	// Limit is the capacity of the queue, in writes.
 	Limit int
 }
 
 // Error implements error.
 func (e *QueueFullError) Error() string { return "queue of writes is full" }
 
-// ExpiredError reports a write that waited too long and was not sent.
+// ExpiredError reports that a write expired in the queue and was not sent.
 type ExpiredError struct{}
 
 // Error implements error.
--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -9,7 +9,9 @@
 	"github.com/jacinthgate/jacinthgate/coordination/core"
 )
 
-// Claim is one request that holds its key. It is safe for concurrent use.
+// Claim is the claim of one request on its Idempotency-Key. The entry proxy
+// uses it to send the request and to record its outcome. It is safe for
+// concurrent use.
 type Claim struct {
 	keeper  *Keeper
 	key     string
@@ -19,9 +21,9 @@
 	machine *claim.Machine
 }
 
-// Dispatch must be called right before each send to a backend server. When it
-// returns false the request must not be sent: the claim is over or the node
-// was paused for too long.
+// Dispatch reports whether the request may be sent. It must be called right
+// before each send to a backend server. When it returns false the request must
+// not be sent: the claim has ended or the node was paused for too long.
 func (c *Claim) Dispatch() bool {
 	for _, a := range c.step(claim.Dispatch{}) {
 		if _, ok := a.(claim.Send); ok {
@@ -31,15 +33,17 @@
 	return false
 }
 
-// Done keeps the backend server's whole answer for repeats. It does not wait
-// for the write; the caller gets its answer in any case.
+// Done stores the backend server's complete response for replay to retries. It
+// does not wait for the write: the caller gets its response even if the write
+// fails.
 func (c *Claim) Done(answer claim.Answer) { c.background(claim.Answered{Answer: answer}) }
 
-// NotRun gives the key back. It may be called only when it is certain that no
-// send of this request ran, or when nothing was sent.
+// NotRun releases the key. It may be called only when nothing was sent or when
+// it is certain that no backend server ran the request.
 func (c *Claim) NotRun() { c.background(claim.NotRun{}) }
 
-// Unknown leaves the key claimed: the request may have run, so no repeat may.
+// Unknown leaves the key claimed: the request may have run, so no retry may
+// run.
 func (c *Claim) Unknown() { c.step(claim.OutcomeLost{}) }
 
 func (c *Claim) step(ev core.Event) []core.Action {
@@ -48,17 +52,18 @@
 	return c.machine.Step(time.Now(), ev)
 }
 
-// background drives the machine from ev until it waits for the entry proxy or
-// ends.
+// background starts drive with ev in a goroutine that Keeper.Close waits for.
 func (c *Claim) background(ev core.Event) {
-	c.keeper.work.Go(func() { c.drive(ev) })
+	c.keeper.background.Go(func() { c.drive(ev) })
 }
 
+// drive steps the state machine from ev on and executes its actions, until no
+// action returns a further event.
 func (c *Claim) drive(ev core.Event) {
 	for ev != nil {
 		next := core.Event(nil)
 		for _, a := range c.step(ev) {
-			if e := c.carryOut(a); e != nil {
+			if e := c.execute(a); e != nil {
 				next = e
 			}
 		}
@@ -66,8 +71,9 @@
 	}
 }
 
-// carryOut carries out one action and returns the event that follows, if any.
-func (c *Claim) carryOut(a core.Action) core.Event {
+// execute executes one action of the state machine and returns the event that
+// results, or nil.
+func (c *Claim) execute(a core.Action) core.Event {
 	switch a := a.(type) {
 	case claim.Write, claim.Read:
 		return c.keeper.perform(c.key, a)
@@ -85,15 +91,17 @@
 	return nil
 }
 
-// retry waits with one of the bounded background slots.
+// retry waits for the delay, with jitter, and returns the Retry event. It
+// returns nil, and counts the claim as stuck, when all MaxBackground slots are
+// taken or Close ends the retries.
 func (c *Claim) retry(after time.Duration) core.Event {
 	select {
-	case c.keeper.slots <- struct{}{}:
+	case c.keeper.retrySlots <- struct{}{}:
 	default:
 		c.keeper.stats.Stuck.Add(1)
 		return nil
 	}
-	defer func() { <-c.keeper.slots }()
+	defer func() { <-c.keeper.retrySlots }()
 	t := time.NewTimer(jitter(after))
 	defer t.Stop()
 	select {
@@ -105,7 +113,7 @@
 	}
 }
 
-// await waits for the verdict, or gives the claim up when ctx ends.
+// await returns the verdict, and cancels the claim if ctx ends first.
 func (c *Claim) await(ctx context.Context) Verdict {
 	select {
 	case v := <-c.verdict:
@@ -117,5 +125,5 @@
 			return Verdict{Kind: Refuse, Refusal: r}
 		}
 	}
-	return <-c.verdict // the verdict came first
+	return <-c.verdict // the verdict preceded the cancellation
 }
--- a/internal/claims/config.go
+++ b/internal/claims/config.go
@@ -1,6 +1,7 @@
-// Package claims runs work that may not be repeated at most once. It drives
-// the state machine of coordination/claim over the platform's table service,
-// joins the writes of one node into transactions and collects old records.
+// Package claims ensures that a request with an Idempotency-Key runs at most
+// once. It runs the state machine of coordination/claim against the platform's
+// table service, batches the writes of one node into transactions and deletes
+// expired records.
 package claims
 
 import (
@@ -12,7 +13,7 @@
 
 // Config configures a Keeper.
 type Config struct {
-	// Node is this node, named in each claim for the operator.
+	// Node is this node's ID; each claim records it for the operator.
 	Node model.NodeID
 	// Incarnation is this node's incarnation.
 	Incarnation uint64
@@ -20,38 +21,40 @@
 	Claim claim.Config
 	// CallTimeout bounds one call to the table service.
 	CallTimeout time.Duration
-	// MaxBackground bounds the claims whose last write is being retried. Past
-	// it a claim is left as it is: its key stays blocked, and never runs twice.
+	// MaxBackground bounds the claims that wait to retry their last write. Beyond it a
+	// claim is left as it is: its key stays blocked, so that its request never
+	// runs twice.
 	MaxBackground int
-	// Batch says how writes are joined into transactions.
+	// Batch configures the batching of writes into transactions.
 	Batch BatchConfig
 	// FailuresToStop is the number of failed calls in a row after which
-	// requests are refused without asking the table service.
+	// requests are refused without a call to the table service.
 	FailuresToStop int64
-	// StopFor is how long they are refused before the service is asked again.
+	// StopFor is how long requests are then refused before the table service is
+	// called again.
 	StopFor time.Duration
-	// SweepPage is the number of records read by one Sweep.
+	// SweepPage is the largest number of records that one Sweep reads.
 	SweepPage int
 	// SweepPause is the time between two transactions of a Sweep, so that
-	// deletes don't take the table service's writes from requests.
+	// deletes don't use up the write capacity that requests need.
 	SweepPause time.Duration
 }
 
-// BatchConfig says how writes are joined into transactions.
+// BatchConfig configures the batching of writes into transactions.
 type BatchConfig struct {
 	// Max is the largest number of writes in one transaction; 1 turns
 	// batching off.
 	Max int
-	// Wait is the longest time a claim waits behind a transaction that is in
-	// flight. A claim that finds none in flight does not wait.
+	// Wait is the longest time that a claim is queued to share a transaction,
+	// while InFlight allows another. With none in flight it is sent at once.
 	Wait time.Duration
-	// LazyWait is the longest time that the outcome of a request, for which
-	// nobody waits, is held back to share a transaction. A node that dies
-	// within it loses the answer kept for repeats.
+	// LazyWait is the longest time that the write of a request's outcome is
+	// delayed to share a transaction; no caller waits for this write. A node
+	// that crashes within it loses the response stored for retries.
 	LazyWait time.Duration
-	// InFlight bounds the transactions in flight.
+	// InFlight is the largest number of transactions in flight.
 	InFlight int
-	// MaxQueue bounds the writes that wait.
+	// MaxQueue is the largest number of queued writes.
 	MaxQueue int
 }
 
--- a/internal/claims/fake_test.go
+++ b/internal/claims/fake_test.go
@@ -11,24 +11,24 @@
 	"github.com/jacinthgate/jacinthgate/state/store"
 )
 
-// fault is what befalls a call.
+// fault is an injected fault of a call.
 type fault int
 
 const (
-	none       fault = iota
-	answerLost       // takes effect, the answer is lost
-	lost             // takes no effect, and the caller can't know it
-	refused          // takes no effect, and the caller knows it
+	none         fault = iota
+	responseLost       // the write takes effect, its response is lost
+	requestLost        // the write takes no effect; the caller gets an unknown outcome
+	rejected           // the write takes no effect; the caller gets an error that says so
 )
 
-// table is a table service in memory.
+// table is an in-memory table service with injected faults.
 type table struct {
 	mu        sync.Mutex
 	items     map[string]store.Item
 	latency   time.Duration
 	next      []fault // faults of the next writes
 	down      bool
-	changed   string // an item that changes right before it is deleted
+	changed   string // the key of an item that changes right before it is deleted
 	transacts int
 	writes    int
 	reads     int
@@ -75,9 +75,9 @@
 	t.transacts++
 	f := t.fault()
 	switch f {
-	case refused:
+	case rejected:
 		return nil, &store.UnavailableError{Op: "transact", Err: context.DeadlineExceeded}
-	case lost:
+	case requestLost:
 		return nil, &store.UnknownError{Op: "transact", Err: context.DeadlineExceeded}
 	}
 	for _, w := range writes {
@@ -91,7 +91,7 @@
 		}
 	}
 	revisions := t.apply(writes)
-	if f == answerLost {
+	if f == responseLost {
 		return nil, &store.UnknownError{Op: "transact", Err: context.DeadlineExceeded}
 	}
 	return revisions, nil
@@ -99,7 +99,7 @@
 
 func (t *table) fault() fault {
 	if t.down {
-		return refused
+		return rejected
 	}
 	if len(t.next) == 0 {
 		return none
--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -16,81 +16,84 @@
 	"github.com/jacinthgate/jacinthgate/state/store"
 )
 
-// Keeper claims Idempotency-Keys in the table service. It is safe for
-// concurrent use.
+// Keeper claims Idempotency-Keys in the table service on behalf of one node's
+// requests. It is safe for concurrent use.
 type Keeper struct {
-	cfg   Config
-	table store.Table
-	batch *batcher
-	slots chan struct{}
-	work  sync.WaitGroup
-	// closing is closed when Close runs out of time: retries end.
-	closing chan struct{}
-	once    sync.Once
-	// failures counts failed calls in a row.
+	cfg        Config
+	table      store.Table
+	batch      *batcher
+	retrySlots chan struct{}
+	background sync.WaitGroup
+	// closing is closed when the context of Close ends; it stops the retries.
+	closing   chan struct{}
+	closeOnce sync.Once
+	// failures counts consecutive failed calls.
 	failures atomic.Int64
-	// stopUntil is when the table service is asked again, in nanoseconds.
+	// stopUntil is the time until which the table service isn't called, in Unix
+	// nanoseconds.
 	stopUntil atomic.Int64
 	stats     Stats
 }
 
-// Stats counts what a Keeper did.
+// Stats holds the counters of a Keeper.
 type Stats struct {
 	// Claimed counts requests that may be sent.
 	Claimed atomic.Uint64
-	// Replayed counts repeats answered with the earlier answer.
+	// Replayed counts retries answered with the stored response.
 	Replayed atomic.Uint64
 	// Refused counts requests that were not sent.
 	Refused atomic.Uint64
-	// Stuck counts keys left claimed because the last write failed for good.
+	// Stuck counts keys left claimed because their last write, of the
+	// outcome or the release, failed permanently.
 	Stuck atomic.Uint64
 }
 
 // New returns a Keeper over the table.
 func New(cfg Config, table store.Table) *Keeper {
 	return &Keeper{
-		cfg:     cfg,
-		table:   table,
-		batch:   newBatcher(cfg.Batch, cfg.CallTimeout, table),
-		slots:   make(chan struct{}, cfg.MaxBackground),
-		closing: make(chan struct{}),
+		cfg:        cfg,
+		table:      table,
+		batch:      newBatcher(cfg.Batch, cfg.CallTimeout, table),
+		retrySlots: make(chan struct{}, cfg.MaxBackground),
+		closing:    make(chan struct{}),
 	}
 }
 
 // Stats returns the counters.
 func (k *Keeper) Stats() *Stats { return &k.stats }
 
-// VerdictKind says what to do with a request.
+// VerdictKind is the kind of a Verdict.
 type VerdictKind uint8
 
 // The kinds of verdict.
 const (
 	// Proceed means that the request may be sent through its Claim.
 	Proceed VerdictKind = iota
-	// Replay means that the request is answered with Verdict.Answer.
+	// Replay means that Verdict.Answer is returned to the caller.
 	Replay
 	// Refuse means that the request is refused with Verdict.Refusal.
 	Refuse
 )
 
-// Verdict says what to do with a request.
+// Verdict is the result of Begin: whether a request is sent, answered with a
+// stored response or refused.
 type Verdict struct {
-	// Kind tells which of the other fields is set.
+	// Kind determines which of the other fields is set.
 	Kind VerdictKind
-	// Answer is the earlier answer of a Replay.
+	// Answer is the stored response of a Replay.
 	Answer claim.Answer
-	// Refusal says what the caller of a Refuse is told.
+	// Refusal is the outcome, reason and Retry-After delay of a Refuse.
 	Refusal claim.Refuse
 }
 
 // Begin claims an organisation's key for one request. The Claim is nil unless the
 // verdict is Proceed; then exactly one of its Done, NotRun and Unknown must be
-// called. When ctx ends first the verdict is a refusal as not run.
+// called. If ctx ends first, the verdict is a refusal with outcome not-run.
 func (k *Keeper) Begin(
 	ctx context.Context, organisation, key string, fp claim.Fingerprint,
 ) (*Claim, Verdict) {
 	if time.Now().UnixNano() < k.stopUntil.Load() {
-		return nil, k.count(k.away())
+		return nil, k.count(k.unavailable())
 	}
 	c := &Claim{
 		keeper:  k,
@@ -111,7 +114,8 @@
 	return c, k.count(v)
 }
 
-func (k *Keeper) away() Verdict {
+// unavailable returns the refusal for a table service that keeps failing.
+func (k *Keeper) unavailable() Verdict {
 	return Verdict{Kind: Refuse, Refusal: claim.Refuse{
 		Outcome:    outcome.NotRun,
 		Reason:     outcome.ReasonPlatform,
@@ -131,24 +135,25 @@
 	return v
 }
 
-// Close waits for outstanding writes until ctx ends, then gives up those that
-// wait for a retry. It is called after the last request has ended.
+// Close waits for outstanding writes until ctx ends; then it abandons those
+// that wait for a retry and returns an error. It is called after the last
+// request has ended.
 func (k *Keeper) Close(ctx context.Context) error {
 	idle := make(chan struct{})
 	go func() {
-		k.work.Wait()
+		k.background.Wait()
 		close(idle)
 	}()
 	select {
 	case <-idle:
 		return nil
 	case <-ctx.Done():
-		k.once.Do(func() { close(k.closing) })
+		k.closeOnce.Do(func() { close(k.closing) })
 		return errors.Wrap(ctx.Err(), "claims: writes outstanding")
 	}
 }
 
-// perform carries out a Write or Read and returns what came of it.
+// perform executes a Write or Read and returns its result as an event.
 func (k *Keeper) perform(key string, a core.Action) core.Event {
 	var ev core.Event
 	switch a := a.(type) {
@@ -157,7 +162,7 @@
 	case claim.Read:
 		ev = k.read(key)
 	}
-	k.observe(ev)
+	k.recordResult(ev)
 	return ev
 }
 
@@ -171,9 +176,9 @@
 	if err == nil {
 		return claim.Written{Revision: revision}
 	}
-	var refused *store.ConditionError
-	if errors.As(err, &refused) {
-		return claim.Conflict{Current: toItem(refused.Current)}
+	var conflict *store.ConditionError
+	if errors.As(err, &conflict) {
+		return claim.Conflict{Current: toItem(conflict.Current)}
 	}
 	var unavailable *store.UnavailableError
 	if errors.As(err, &unavailable) {
@@ -200,8 +205,9 @@
 	return claim.Item{Revision: it.Revision, Record: r, Corrupt: err != nil}
 }
 
-// observe stops asking a table service that keeps failing.
-func (k *Keeper) observe(ev core.Event) {
+// recordResult counts consecutive failures; at Config.FailuresToStop it stops
+// calls to the table service for Config.StopFor.
+func (k *Keeper) recordResult(ev core.Event) {
 	switch ev.(type) {
 	case claim.WriteFailed, claim.WriteUnknown, claim.LoadFailed:
 		if k.failures.Add(1) >= k.cfg.FailuresToStop {
@@ -213,7 +219,7 @@
 	}
 }
 
-// jitter returns d plus or minus a quarter.
+// jitter returns a random duration within a quarter of d above or below it.
 func jitter(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2+1)
 }
--- a/internal/claims/keeper_test.go
+++ b/internal/claims/keeper_test.go
@@ -21,9 +21,9 @@
 	booked  = claim.Answer{Status: 201, Body: []byte("booked")}
 )
 
-const settled = time.Minute // long enough for all background work
+const settleTime = time.Minute // long enough for all background work
 
-func node(name string, tb *table) *claims.Keeper {
+func newKeeper(name string, tb *table) *claims.Keeper {
 	cfg := claims.DefaultConfig()
 	cfg.Node = "node-a"
 	if name != "" {
@@ -38,8 +38,9 @@
 	return k.Begin(ctx, "kovacsne", key, booking)
 }
 
-// told is the outcome and reason of a refusal, or how else the request went.
-func told(v claims.Verdict) string {
+// describe returns a verdict as text: "proceed", "replay" with the body, or the
+// outcome and reason of a refusal.
+func describe(v claims.Verdict) string {
 	switch v.Kind {
 	case claims.Proceed:
 		return "proceed"
@@ -50,23 +51,23 @@
 }
 
 const (
-	inProgress = string(outcome.Unknown) + " " + string(outcome.ReasonInProgress)
-	away       = string(outcome.NotRun) + " " + string(outcome.ReasonPlatform)
-	late       = string(outcome.NotRun) + " " + string(outcome.ReasonDeadline)
-	gone       = string(outcome.Unknown) + " " + string(outcome.ReasonOutcomeLost)
+	inProgress     = string(outcome.Unknown) + " " + string(outcome.ReasonInProgress)
+	unavailable    = string(outcome.NotRun) + " " + string(outcome.ReasonPlatform)
+	deadlinePassed = string(outcome.NotRun) + " " + string(outcome.ReasonDeadline)
+	outcomeLost    = string(outcome.Unknown) + " " + string(outcome.ReasonOutcomeLost)
 )
 
 func TestTwoNodesOneKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := newTable()
-		keepers := []*claims.Keeper{node("", tb), node("b", tb)}
+		keepers := []*claims.Keeper{newKeeper("", tb), newKeeper("b", tb)}
 		var wg sync.WaitGroup
 		held := make([]*claims.Claim, 2)
-		said := make([]string, 2)
+		results := make([]string, 2)
 		for i, k := range keepers {
 			wg.Go(func() {
 				c, v := begin(k, "k1")
-				held[i], said[i] = c, told(v)
+				held[i], results[i] = c, describe(v)
 			})
 		}
 		wg.Wait()
@@ -74,18 +75,18 @@
 		if held[0] == nil {
 			winner = 1
 		}
-		must.Eq(t, "proceed", said[winner])
-		must.Eq(t, inProgress, said[1-winner])
+		must.Eq(t, "proceed", results[winner])
+		must.Eq(t, inProgress, results[1-winner])
 		must.True(t, held[winner].Dispatch())
 		held[winner].Done(booked)
 		must.NoError(t, keepers[winner].Close(context.Background()))
 		_, v := begin(keepers[1-winner], "k1")
-		must.Eq(t, "replay booked", told(v))
+		must.Eq(t, "replay booked", describe(v))
 	})
 }
 
-// TestFaults lets the first request at one node meet a fault and tells what
-// it, an early repeat and a late repeat at another node are told.
+// TestFaults injects faults into the first request at one node and checks its
+// verdict and those of an early and a late retry at another node.
 func TestFaults(t *testing.T) {
 	run := func(c *claims.Claim) { c.Dispatch(); c.Done(booked) }
 	cases := []struct {
@@ -95,57 +96,57 @@
 		first, early, later string
 	}{
 		{"no fault", nil, run, "proceed", inProgress, "replay booked"},
-		{"answer lost", []fault{answerLost}, run, "proceed", inProgress, "replay booked"},
-		{"write lost", []fault{lost}, run, "proceed", inProgress, "replay booked"},
-		{"write refused", []fault{refused}, nil, away, "proceed", "proceed"},
-		{"answers of three writes lost", []fault{lost, lost, answerLost}, run, "proceed", inProgress, "replay booked"},
-		{"all writes lost", []fault{lost, lost, lost}, nil, away, "proceed", "proceed"},
-		{"outcome lost at first", []fault{none, lost, refused, answerLost}, run, "proceed", inProgress, "replay booked"},
+		{"response lost", []fault{responseLost}, run, "proceed", inProgress, "replay booked"},
+		{"write lost", []fault{requestLost}, run, "proceed", inProgress, "replay booked"},
+		{"write refused", []fault{rejected}, nil, unavailable, "proceed", "proceed"},
+		{"responses of three writes lost", []fault{requestLost, requestLost, responseLost}, run, "proceed", inProgress, "replay booked"},
+		{"all writes lost", []fault{requestLost, requestLost, requestLost}, nil, unavailable, "proceed", "proceed"},
+		{"outcome lost at first", []fault{none, requestLost, rejected, responseLost}, run, "proceed", inProgress, "replay booked"},
 		{"certain not-run", nil, (*claims.Claim).NotRun, "proceed", inProgress, "proceed"},
-		{"release lost at first", []fault{none, lost}, (*claims.Claim).NotRun, "proceed", inProgress, "proceed"},
-		{"backend connection broke", nil, (*claims.Claim).Unknown, "proceed", inProgress, gone},
-		{"killed while holding", nil, nil, "proceed", inProgress, gone},
+		{"release lost at first", []fault{none, requestLost}, (*claims.Claim).NotRun, "proceed", inProgress, "proceed"},
+		{"backend connection broke", nil, (*claims.Claim).Unknown, "proceed", inProgress, outcomeLost},
+		{"killed while holding", nil, nil, "proceed", inProgress, outcomeLost},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				tb := newTable()
 				tb.next = c.next
-				a, b := node("", tb), node("b", tb)
+				a, b := newKeeper("", tb), newKeeper("b", tb)
 				held, v := begin(a, "k1")
-				must.Eq(t, c.first, told(v))
+				must.Eq(t, c.first, describe(v))
 				if held != nil && c.use != nil {
 					c.use(held)
 				}
-				again, v := begin(b, "k1")
-				must.Eq(t, c.early, told(v))
-				if again != nil {
-					again.NotRun()
+				retry, v := begin(b, "k1")
+				must.Eq(t, c.early, describe(v))
+				if retry != nil {
+					retry.NotRun()
 				}
-				time.Sleep(3 * settled)
+				time.Sleep(3 * settleTime)
 				_, v = begin(b, "k1")
-				must.Eq(t, c.later, told(v))
+				must.Eq(t, c.later, describe(v))
 			})
 		})
 	}
 }
 
-// TestPause pauses an owner between its claim and its send while a repeat
-// arrives: neither may run twice.
+// TestPause pauses the node that holds a claim before it sends the request,
+// while a retry arrives at another node: the request must not run twice.
 func TestPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := newTable()
-		a, b := node("", tb), node("b", tb)
+		a, b := newKeeper("", tb), newKeeper("b", tb)
 		paused, _ := begin(a, "k1")
 		time.Sleep(10 * time.Minute)
 		_, v := begin(b, "k1")
-		must.Eq(t, gone, told(v))
+		must.Eq(t, outcomeLost, describe(v))
 		must.False(t, paused.Dispatch())
 		paused.NotRun()
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		must.False(t, paused.Dispatch())
 		next, v := begin(b, "k1")
-		must.Eq(t, "proceed", told(v))
+		must.Eq(t, "proceed", describe(v))
 		must.True(t, next.Dispatch())
 	})
 }
@@ -153,7 +154,7 @@
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := newTable()
-		k, idle := node("", tb), node("b", tb)
+		k, idle := newKeeper("", tb), newKeeper("b", tb)
 		held, _ := begin(k, "k1")
 		tb.set(func() { tb.down = true })
 		for range 3 {
@@ -162,70 +163,72 @@
 		tb.set(func() { tb.transacts = 0 })
 		for i := range 10 {
 			_, v := begin(k, fmt.Sprint("other", i))
-			must.Eq(t, away, told(v))
+			must.Eq(t, unavailable, describe(v))
 			must.True(t, v.Refusal.RetryAfter > 0)
 		}
-		must.Eq(t, 3, tb.transacts, must.Sprint("calls into a dead platform go on"))
+		must.Eq(t, 3, tb.transacts, must.Sprint("calls to an unavailable table service continue"))
 		must.True(t, held.Dispatch())
 		held.Done(booked)
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		tb.set(func() { tb.down = false })
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		_, v := begin(idle, "k1")
-		must.Eq(t, "replay booked", told(v))
+		must.Eq(t, "replay booked", describe(v))
 		_, v = begin(k, "k2")
-		must.Eq(t, "proceed", told(v))
+		must.Eq(t, "proceed", describe(v))
 	})
 }
 
-// TestDeadline lets the caller's deadline pass while its claim is written
-// slowly: it is told not-run at once and the key is free again afterwards.
+// TestDeadline lets the caller's deadline pass during a slow write of its
+// claim: the request is refused as not-run at once and the key is released
+// afterwards.
 func TestDeadline(t *testing.T) {
-	for _, f := range []fault{none, answerLost, lost, refused} {
+	for _, f := range []fault{none, responseLost, requestLost, rejected} {
 		synctest.Test(t, func(t *testing.T) {
 			tb := newTable()
 			tb.latency, tb.next = 300*time.Millisecond, []fault{f}
 			ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 			defer cancel()
 			began := time.Now()
-			_, v := node("", tb).Begin(ctx, "kovacsne", "k1", booking)
-			must.Eq(t, late, told(v))
+			_, v := newKeeper("", tb).Begin(ctx, "kovacsne", "k1", booking)
+			must.Eq(t, deadlinePassed, describe(v))
 			must.Eq(t, 100*time.Millisecond, time.Since(began))
-			time.Sleep(settled)
-			_, v = begin(node("b", tb), "k1")
-			must.Eq(t, "proceed", told(v), must.Sprint("fault ", f))
+			time.Sleep(settleTime)
+			_, v = begin(newKeeper("b", tb), "k1")
+			must.Eq(t, "proceed", describe(v), must.Sprint("fault ", f))
 		})
 	}
 }
 
-// TestBatch joins a repeat with new keys, and one new key twice: the failed
-// condition must not refuse the others, and each key is held once.
+// TestBatch batches a claimed key with new keys, and one new key twice: the
+// failed condition must not fail the other writes, and each key is claimed
+// once.
 func TestBatch(t *testing.T) {
 	for _, keys := range [][]string{{"held", "a", "b", "c"}, {"twin", "twin", "a", "b"}} {
 		synctest.Test(t, func(t *testing.T) {
-			k := node("", newTable())
+			k := newKeeper("", newTable())
 			begin(k, "held")
 			var wg sync.WaitGroup
-			said := make([]string, len(keys))
+			results := make([]string, len(keys))
 			for i, key := range keys {
 				wg.Go(func() {
 					_, v := begin(k, key)
-					said[i] = told(v)
+					results[i] = describe(v)
 				})
 			}
 			wg.Wait()
-			slices.Sort(said)
-			must.Eq(t, []string{"proceed", "proceed", "proceed", inProgress}, said)
+			slices.Sort(results)
+			must.Eq(t, []string{"proceed", "proceed", "proceed", inProgress}, results)
 		})
 	}
 }
 
-// TestSweep collects old records, leaves young ones and goes on after one
-// that changed since it was listed.
+// TestSweep checks that a sweep deletes expired records, keeps recent ones and
+// continues after a record that changed since it was listed.
 func TestSweep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := newTable()
-		k := node("", tb)
+		k := newKeeper("", tb)
 		for i := range 40 {
 			c, _ := begin(k, fmt.Sprint("old", i))
 			c.Done(booked)
@@ -233,21 +236,21 @@
 		time.Sleep(claim.DefaultConfig().RetainFor)
 		c, _ := begin(k, "young")
 		c.Done(booked)
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		tb.changed = claim.ItemKey("kovacsne", "old7")
 		began := time.Now()
 		swept, err := k.Sweep(context.Background(), "kovacsne")
 		must.NoError(t, err)
-		took := claims.DefaultConfig().SweepPause + 3*tb.latency // three transactions, one of them refused
+		took := claims.DefaultConfig().SweepPause + 3*tb.latency // three transactions, one of them with a failed condition
 		must.Eq(t, took, time.Since(began), must.Sprint("deletes are not spaced"))
 		must.Eq(t, claims.Swept{Read: 41, Deleted: 39}, swept)
 		_, v := begin(k, "young")
-		must.Eq(t, "replay booked", told(v))
+		must.Eq(t, "replay booked", describe(v))
 	})
 }
 
-// TestWritesPerBooking bounds what one booking costs the platform, for one
-// node under several loads, and prints it.
+// TestWritesPerBooking bounds the transactions per booking of one node under
+// several loads, and logs the transactions, writes and reads.
 func TestWritesPerBooking(t *testing.T) {
 	cases := []struct {
 		perSecond int
--- a/internal/claims/store_test.go
+++ b/internal/claims/store_test.go
@@ -17,9 +17,9 @@
 	"github.com/jacinthgate/jacinthgate/state/model"
 )
 
-// TestFaultyStore lets callers repeat bookings at many nodes while the store
-// is slow and loses requests and answers. Afterwards each key has run at most
-// once, and none is stuck.
+// TestFaultyStore lets callers retry bookings at many nodes while the store is
+// slow and loses requests and responses. Each key must have run at most once,
+// and none may be stuck afterwards.
 func TestFaultyStore(t *testing.T) {
 	const nodes, keys, callers, tries = 8, 25, 3, 6
 	synctest.Test(t, func(t *testing.T) {
@@ -61,14 +61,14 @@
 				}
 			})
 		}
-		for i := range 20 { // every other second calls outlast their timeout
+		for i := range 20 { // every other second, calls exceed their timeout
 			faults.Delay = model.Duration(time.Duration(1+14*(i%2)) * 100 * time.Millisecond)
 			s.SetFaults(faults)
 			time.Sleep(time.Second)
 		}
 		wg.Wait()
 		s.SetFaults(platformtest.Faults{})
-		time.Sleep(2 * settled)
+		time.Sleep(2 * settleTime)
 		for i := range keys {
 			key := fmt.Sprint("k", i)
 			must.True(t, runs[key] <= 1, must.Sprint(key, " ran ", runs[key], " times"))
@@ -77,13 +77,13 @@
 			if runs[key] == 1 {
 				want = "replay " + key
 			}
-			must.Eq(t, want, told(v), must.Sprint(key))
+			must.Eq(t, want, describe(v), must.Sprint(key))
 		}
 	})
 }
 
-// BenchmarkBooking measures the processor time of one booking without the
-// platform's own.
+// BenchmarkBooking measures the processor time of one booking, without the
+// latency of the table service.
 func BenchmarkBooking(b *testing.B) {
 	k := claims.New(claims.DefaultConfig(), &table{items: newTable().items})
 	b.ReportAllocs()
--- a/internal/claims/sweep.go
+++ b/internal/claims/sweep.go
@@ -12,48 +12,48 @@
 	"github.com/jacinthgate/jacinthgate/state/store"
 )
 
-// Swept reports one Sweep.
+// Swept is the result of one Sweep.
 type Swept struct {
 	// Read is the number of records read.
 	Read int
-	// Deleted is the number of old records deleted.
+	// Deleted is the number of expired records deleted.
 	Deleted int
 }
 
-// Sweep reads one page of an organisation's records from a random place and
+// Sweep reads one page of an organisation's records from a random position and
 // deletes those older than RetainFor. It needs no lease: any node may call it
-// at any time, since deletes are conditional. Called now and then it visits all
-// records. It pauses between deletes and so may take a minute. The errors are
-// those of store.Table and of ctx.
+// at any time, since deletes are conditional. Periodic calls visit all records.
+// It pauses between transactions and so may take a minute. The errors are those
+// of store.Table and of ctx.
 func (k *Keeper) Sweep(ctx context.Context, organisation string) (Swept, error) {
-	items, err := k.page(ctx, claim.Prefix+organisation+"/", randomHash())
+	items, err := k.readPage(ctx, claim.Prefix+organisation+"/", randomHash())
 	if err != nil {
 		return Swept{}, errors.Wrap(err, "sweep: list claims")
 	}
 	swept := Swept{Read: len(items)}
-	old := k.expired(time.Now(), items)
-	for len(old) > 0 {
-		n := min(len(old), k.cfg.Batch.Max)
-		_, err := k.table.Transact(ctx, old[:n])
-		var refused *store.ConditionError
-		if errors.As(err, &refused) {
-			old = without(old, refused.Key)
+	deletes := k.expiredDeletes(time.Now(), items)
+	for len(deletes) > 0 {
+		n := min(len(deletes), k.cfg.Batch.Max)
+		_, err := k.table.Transact(ctx, deletes[:n])
+		var conflict *store.ConditionError
+		if errors.As(err, &conflict) {
+			deletes = without(deletes, conflict.Key)
 			continue
 		}
 		if err != nil {
 			return swept, errors.Wrap(err, "sweep: delete claims")
 		}
 		swept.Deleted += n
-		old = old[n:]
-		if len(old) > 0 && !pause(ctx, k.cfg.SweepPause) {
+		deletes = deletes[n:]
+		if len(deletes) > 0 && !sleep(ctx, k.cfg.SweepPause) {
 			return swept, errors.Wrap(ctx.Err(), "sweep: delete claims")
 		}
 	}
 	return swept, nil
 }
 
-// pause waits; false when ctx ended.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and reports whether it did so before ctx ended.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -64,9 +64,9 @@
 	}
 }
 
-// page reads a page from start on. A page that meets the end goes on at the
-// beginning, so that all records are visited equally often.
-func (k *Keeper) page(ctx context.Context, prefix, start string) ([]store.Item, error) {
+// readPage reads a page of records from start on. At the end of the records it
+// wraps around to the first, so that all are visited equally often.
+func (k *Keeper) readPage(ctx context.Context, prefix, start string) ([]store.Item, error) {
 	items, err := k.table.List(ctx, prefix, prefix+start, k.cfg.SweepPage)
 	if err != nil || len(items) == k.cfg.SweepPage {
 		return items, err
@@ -83,19 +83,20 @@
 	return items, nil
 }
 
-// expired returns the deletes of the records that may be collected. A record
-// that can't be decoded is left for the operator.
-func (k *Keeper) expired(now time.Time, items []store.Item) []store.Write {
-	var old []store.Write
+// expiredDeletes returns the deletes of the expired records among items. A
+// record that can't be decoded is left for the operator.
+func (k *Keeper) expiredDeletes(now time.Time, items []store.Item) []store.Write {
+	var deletes []store.Write
 	for _, it := range items {
 		r, err := claim.Decode(it.Value)
 		if err == nil && r.Expired(now, k.cfg.Claim.RetainFor) {
-			old = append(old, store.Write{Key: it.Key, Delete: true, IfRevision: it.Revision})
+			deletes = append(deletes, store.Write{Key: it.Key, Delete: true, IfRevision: it.Revision})
 		}
 	}
-	return old
+	return deletes
 }
 
+// without returns the writes except those of key.
 func without(writes []store.Write, key string) []store.Write {
 	var rest []store.Write
 	for _, w := range writes {
@@ -106,7 +107,8 @@
 	return rest
 }
 
-// randomHash returns the place in an organisation's records where a page starts.
+// randomHash returns the random position at which a page starts, as the hex
+// prefix of a key's hash.
 func randomHash() string {
 	var b [4]byte
 	for i := range b {
--- a/internal/collector/collector_test.go
+++ b/internal/collector/collector_test.go
@@ -6,8 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A small heap may grow to the goal; a large one keeps the default pace, so
-// that memory stays within twice what is live.
+// TestPace checks that a small heap may grow to the goal and that a large one
+// keeps the default GC percent, so that the heap stays within twice its live size.
 func TestPace(t *testing.T) {
 	c := Config{Goal: 24 << 20, MaxPercent: 400}
 	for live, want := range map[uint64]int{
@@ -20,8 +20,8 @@
 	}
 }
 
-// The limit holds for small heaps and is never below one and a half times what is
-// live.
+// TestLimit checks that the configured limit applies to small heaps and that the
+// limit is never below one and a half times the live heap.
 func TestLimit(t *testing.T) {
 	c := Config{Limit: 52 << 20}
 	for live, want := range map[uint64]int64{
