--- a/internal/control/accepter.go
+++ b/internal/control/accepter.go
@@ -13,62 +13,68 @@
 
 // Config configures an Accepter.
 type Config struct {
-	// Accept sets the limits of one change.
+	// Accept sets the limits that apply to each change.
 	Accept accept.Config
-	// Held returns the newest version that the process holds, which saves
-	// loading it. Nil when it holds none.
+	// Held returns the newest version that the process already holds, so that
+	// the accepter need not load it from the platform. It returns nil when the
+	// process holds no version. Held itself may be nil.
 	Held func() *snapshot.Snapshot
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default configuration of an Accepter.
 func DefaultConfig() Config { return Config{Accept: accept.DefaultConfig()} }
 
-// Accepter accepts changes. It is safe for concurrent use: its own changes go
-// one after another, so that they don't race each other; accepters of other
-// processes may race it.
+// Accepter validates changes of the configuration and commits them to the
+// platform. It is safe for concurrent use: it applies its changes one at a
+// time, so that they don't race each other. Accepters of other processes may
+// commit concurrently.
 type Accepter struct {
 	Reader
 	cfg Config
-	// turn holds one token while a change is under way.
-	turn chan struct{}
+	// applying is a semaphore: it holds one token while a change is being
+	// applied.
+	applying chan struct{}
 	// newest is the newest version known to be accepted. It is written only
-	// in turn.
+	// while the token of applying is held.
 	newest atomic.Pointer[snapshot.Snapshot]
 }
 
-// NewAccepter returns an accepter over the platform.
+// NewAccepter returns an accepter that commits to the platform's table and
+// object store.
 func NewAccepter(cfg Config, table store.Table, objects store.Objects) *Accepter {
 	a := &Accepter{
-		Reader: Reader{table: table, objects: objects},
-		cfg:    cfg,
-		turn:   make(chan struct{}, 1),
+		Reader:   Reader{table: table, objects: objects},
+		cfg:      cfg,
+		applying: make(chan struct{}, 1),
 	}
 	a.newest.Store(snapshot.Empty())
 	return a
 }
 
-// Newest returns the newest version that this accepter knows to be accepted;
-// the empty one when it has accepted and loaded none. It does not block.
+// Newest returns the newest accepted version that this accepter has committed
+// or loaded, or the empty snapshot when there is none. It does not block.
 func (a *Accepter) Newest() *snapshot.Snapshot { return a.newest.Load() }
 
-// Apply accepts a change. The error is a *accept.ConflictError,
+// Apply commits a change and returns the accepted version. The error is a *accept.ConflictError,
 // *accept.InvalidError, *accept.ChangeIDError, *accept.RefusedError or
-// *accept.UnknownOutcomeError; only the last leaves open whether the change is
-// taken. When ctx ends, Apply ends with one of the last two.
+// *accept.UnknownOutcomeError; only the last leaves it unknown whether the
+// change was accepted. When ctx ends, Apply returns one of the last two.
 func (a *Accepter) Apply(ctx context.Context, change accept.Change) (accept.Accepted, error) {
 	select {
-	case a.turn <- struct{}{}:
+	case a.applying <- struct{}{}:
 	case <-ctx.Done():
 		return accept.Accepted{}, notStarted(change, ctx.Err())
 	}
-	defer func() { <-a.turn }()
+	defer func() { <-a.applying }()
 	m := accept.New(a.cfg.Accept, change, a.held())
 	end := a.drive(ctx, m)
 	a.newest.Store(m.Newest())
 	return end.Accepted, end.Err
 }
 
-// notStarted returns the error of a change that got no turn.
+// notStarted returns the error of a change whose context ended before the
+// accepter began to apply it. The outcome of a resent change is unknown, as an
+// earlier send may have been accepted.
 func notStarted(change accept.Change, err error) error {
 	if change.Resend {
 		return &accept.UnknownOutcomeError{ID: change.ID, Err: err}
@@ -76,7 +82,8 @@
 	return &accept.RefusedError{Err: err}
 }
 
-// held returns the newest version at hand.
+// held returns the newer of the accepter's newest version and the version that
+// the process holds.
 func (a *Accepter) held() *snapshot.Snapshot {
 	newest := a.newest.Load()
 	if a.cfg.Held == nil {
@@ -88,6 +95,8 @@
 	return newest
 }
 
+// drive runs the state machine of one change: it performs each action and
+// passes the resulting event back, until the machine finishes.
 func (a *Accepter) drive(ctx context.Context, m *accept.Machine) accept.Finish {
 	var ev core.Event = accept.Start{}
 	for {
@@ -100,7 +109,7 @@
 	}
 }
 
-// perform carries out one action and returns the event that answers it.
+// perform carries out one action and returns the event that reports its result.
 func (a *Accepter) perform(ctx context.Context, act core.Action) core.Event {
 	switch act := act.(type) {
 	case accept.ReadHead:
@@ -137,6 +146,8 @@
 	}
 }
 
+// writesOf returns the writes of the transaction that commits a change: the
+// conditional write of the head and, where given, the change's record.
 func writesOf(w accept.WriteHead) []store.Write {
 	writes := []store.Write{{Key: accept.HeadKey, Value: w.Head, IfRevision: w.HeadRevision}}
 	if w.RecordKey != "" {
--- a/internal/control/collector.go
+++ b/internal/control/collector.go
@@ -13,30 +13,33 @@
 
 // CollectorConfig configures a Collector.
 type CollectorConfig struct {
-	// Collect sets what is kept.
+	// Collect sets which versions and records are kept, and for how long.
 	Collect collect.Config
-	// Page is the number of keys or records read in one call. It also bounds
-	// the removals of one sweep, so that a long backlog does not use up the
-	// platform's writes.
+	// Page is the maximum number of keys or records that one call lists. It
+	// also bounds the removals of a sweep (per kind of object and for records),
+	// so that a large backlog does not exhaust the platform's write capacity.
 	Page int
 }
 
-// DefaultCollectorConfig returns the defaults.
+// DefaultCollectorConfig returns the default configuration of a Collector.
 func DefaultCollectorConfig() CollectorConfig {
 	return CollectorConfig{Collect: collect.DefaultConfig(), Page: 100}
 }
 
-// Collector removes superseded objects and records. Any number may run at a
-// time, in any process, without a lease. It is not safe for concurrent use.
+// Collector is the garbage collector of the platform: it removes superseded
+// objects and old records. Any number of collectors may run concurrently, in
+// any processes, without a lease; a single Collector is not safe for concurrent
+// use.
 type Collector struct {
 	Reader
 	cfg  CollectorConfig
 	core *collect.Collector
-	// after is the record key up to which the records were looked at.
-	after string
+	// lastKey is the key of the last record that was examined; the next sweep
+	// continues after it. It is empty at the start of a pass over all records.
+	lastKey string
 }
 
-// NewCollector returns a collector over the platform.
+// NewCollector returns a collector of the platform's table and object store.
 func NewCollector(cfg CollectorConfig, table store.Table, objects store.Objects) *Collector {
 	return &Collector{
 		Reader: Reader{table: table, objects: objects},
@@ -45,16 +48,16 @@
 	}
 }
 
-// Swept counts what a sweep removed.
+// Swept counts the removals of one sweep.
 type Swept struct {
-	// Objects and Records are the numbers removed.
+	// Objects and Records are the numbers of objects and records removed.
 	Objects, Records int
 }
 
-// Sweep looks at the oldest objects and at one page of records, and removes
-// what is no longer needed. It should be called about once a minute. A sweep
-// that fails in the middle is continued by the next one. The error is one of
-// platform's or an *accept.DecodeError.
+// Sweep examines the oldest objects and one page of records, and removes those
+// that are no longer needed. It should be called about once a minute. When a
+// sweep fails partway, the next one continues its work. The error is an error
+// of the platform's store or an *accept.DecodeError.
 func (c *Collector) Sweep(ctx context.Context, now time.Time) (Swept, error) {
 	var done Swept
 	head, err := c.Head(ctx)
@@ -73,7 +76,9 @@
 	return done, err
 }
 
-// sweepObjects removes the oldest objects; keys are in order of version.
+// sweepObjects removes the oldest objects under a prefix that are no longer
+// needed, and returns their number. The keys are listed in order of version,
+// so the first page holds the oldest objects.
 func (c *Collector) sweepObjects(ctx context.Context, now time.Time, prefix string) (int, error) {
 	keys, err := c.objects.List(ctx, prefix, "", c.cfg.Page)
 	if err != nil {
@@ -88,12 +93,13 @@
 	return len(old), nil
 }
 
-// sweepRecords looks at the next page of records, in turn.
+// sweepRecords examines the next page of records and returns the number of
+// records removed. After the last page it starts again at the first.
 func (c *Collector) sweepRecords(ctx context.Context, now time.Time) (int, error) {
 	if !c.core.RecordRemovable(now, 1) {
-		return 0, nil // not even the first one
+		return 0, nil // not even the record of version 1 is removable
 	}
-	items, err := c.table.List(ctx, accept.RecordPrefix, c.after, c.cfg.Page)
+	items, err := c.table.List(ctx, accept.RecordPrefix, c.lastKey, c.cfg.Page)
 	if err != nil {
 		return 0, err
 	}
@@ -107,15 +113,16 @@
 			removed++
 		}
 	}
-	c.after = ""
+	c.lastKey = ""
 	if len(items) == c.cfg.Page {
-		c.after = items[len(items)-1].Key
+		c.lastKey = items[len(items)-1].Key
 	}
 	return removed, nil
 }
 
-// removeRecord removes a record that is old enough. The removal is conditional,
-// so that of two collectors one removes it and the other goes on.
+// removeRecord removes a record if it is old enough, and reports whether it did.
+// The removal is conditional on the record's revision, so that when two
+// collectors race, one removes the record and the other continues.
 func (c *Collector) removeRecord(ctx context.Context, now time.Time, it store.Item) (bool, error) {
 	record, err := accept.DecodeRecord(it.Key[len(accept.RecordPrefix):], it.Value)
 	if err != nil {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -19,8 +19,8 @@
 	"github.com/jacinthgate/jacinthgate/state/store"
 )
 
-// TestMain fixes the random orders, so that each run gives the same verdict.
-// The flags of the command line still win.
+// TestMain fixes the seed of the random tests, so that each run gives the same
+// result. Flags on the command line take precedence.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "150", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// hookedTable calls transact in place of the table's Transact.
+// hookedTable is a table whose Transact is replaced by a function.
 type hookedTable struct {
 	store.Table
 	transact func(ctx context.Context, writes []store.Write) ([]uint64, error)
@@ -76,14 +76,14 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			s := platformtest.New(platformtest.Faults{}, 1)
-			// Both have read the head before either writes it.
-			var read sync.WaitGroup
-			read.Add(2)
+			// Each accepter waits with its first write until both have read the head.
+			var headRead sync.WaitGroup
+			headRead.Add(2)
 			errs := make([]error, 2)
 			var done sync.WaitGroup
 			for i, organisation := range tc.organisations {
 				a := newAccepter(s)
-				once := sync.OnceFunc(func() { read.Done(); read.Wait() })
+				once := sync.OnceFunc(func() { headRead.Done(); headRead.Wait() })
 				a.table = &hookedTable{Table: s.Table(), transact: func(ctx context.Context, w []store.Write) ([]uint64, error) {
 					once()
 					return s.Table().Transact(ctx, w)
@@ -115,14 +115,14 @@
 		done.Go(func() { _, _ = a.Apply(t.Context(), put(name, name, 1, 0)) })
 	}
 	done.Wait()
-	must.Eq(t, 8, s.Counters().Ops[platformtest.OpTransact].Calls) // no write was lost to another
+	must.Eq(t, 8, s.Counters().Ops[platformtest.OpTransact].Calls) // no write failed on a conflict and was retried
 	head, err := a.Head(t.Context())
 	must.NoError(t, err)
 	must.Eq(t, 8, head.Ref.Version)
 }
 
 func TestLostAnswersAreSettledByReading(t *testing.T) {
-	s := platformtest.New(platformtest.Faults{LoseNextAnswers: 1}, 1) // the first object's
+	s := platformtest.New(platformtest.Faults{LoseNextAnswers: 1}, 1) // the response to the write of the first object
 	a := newAccepter(s)
 	calls := 0
 	a.table = &hookedTable{Table: s.Table(), transact: func(ctx context.Context, w []store.Write) ([]uint64, error) {
@@ -142,7 +142,8 @@
 		var re *accept.RefusedError
 		must.True(t, errors.As(err, &re))
 
-		// Of a change that was sent before, an outage proves nothing.
+		// If the change was sent before, an outage does not prove that it was
+		// not accepted.
 		c := put("a", "clinic", 1, 0)
 		c.Resend = true
 		_, err = newAccepter(s).Apply(t.Context(), c)
@@ -151,12 +152,13 @@
 	})
 }
 
-// The head write is on its way when the platform goes away. It lands late, or
-// never since a later send has ended it.
+// The platform becomes unavailable while the write of the head is in flight. The
+// write takes effect late, or never, because a resend of the change invalidates
+// its condition.
 func TestOutageAfterTheHeadWriteIsUnknown(t *testing.T) {
 	tests := []struct {
 		name   string
-		landed bool // before the change is sent again
+		landed bool // whether the write takes effect before the resend
 	}{
 		{"landed", true},
 		{"ended by the resend", false},
@@ -166,14 +168,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := platformtest.New(platformtest.Faults{}, 1)
 				mustApply(t, newAccepter(s), put("first", "clinic", 1, 0))
-				var late []store.Write
+				var delayed []store.Write
 				a := newAccepter(s)
 				a.table = &hookedTable{Table: s.Table(), transact: func(_ context.Context, w []store.Write) ([]uint64, error) {
-					if late != nil { // the second try does not even leave
+					if delayed != nil { // the retry fails before it is sent
 						s.SetFaults(platformtest.Faults{Down: true})
 						return nil, &store.UnavailableError{Op: "transact", Err: context.DeadlineExceeded}
 					}
-					late = w
+					delayed = w
 					return nil, &store.UnknownError{Op: "transact", Err: context.DeadlineExceeded}
 				}}
 				_, err := a.Apply(t.Context(), put("a", "clinic", 2, 1))
@@ -182,10 +184,10 @@
 
 				s.SetFaults(platformtest.Faults{})
 				land := func() error {
-					_, err := s.Table().Transact(t.Context(), late)
+					_, err := s.Table().Transact(t.Context(), delayed)
 					return err
 				}
-				again := put("a", "clinic", 2, 0) // a stale base: conflicts
+				again := put("a", "clinic", 2, 0) // a stale base, which conflicts
 				again.Resend = true
 				if tc.landed {
 					must.NoError(t, land())
@@ -195,7 +197,7 @@
 				_, err = newAccepter(s).Apply(t.Context(), again)
 				var ce *accept.ConflictError
 				must.True(t, errors.As(err, &ce))
-				must.Error(t, land()) // "no" stays "no"
+				must.Error(t, land()) // a reported conflict stays true
 			})
 		})
 	}
@@ -213,7 +215,8 @@
 	})
 }
 
-// grow accepts versions up to n and returns the snapshot of each.
+// grow commits n versions and returns the snapshots of all versions, indexed by
+// version and beginning with the empty one.
 func grow(t *testing.T, a *Accepter, n int) []*snapshot.Snapshot {
 	t.Helper()
 	all := []*snapshot.Snapshot{snapshot.Empty()}
@@ -229,7 +232,7 @@
 	tests := []struct {
 		name    string
 		held    int
-		missing bool // the newest delta
+		missing bool // whether the newest delta is missing
 		reads   uint64
 	}{
 		{"held", last, false, 0},
@@ -295,12 +298,12 @@
 	cfg.Collect.KeepVersions = accept.RecentLength + 1
 	cfg.Collect.KeepRecords = 20
 	cfg.Page = 4
-	must.NoError(t, s.Objects().Put(t.Context(), "config/full/other", nil)) // not ours
+	must.NoError(t, s.Objects().Put(t.Context(), "config/full/other", nil)) // not an object of the configuration
 	c := NewCollector(cfg, s.Table(), s.Objects())
 	now := time.Unix(1e9, 0)
 	got, err := c.Sweep(t.Context(), now)
 	must.NoError(t, err)
-	must.Eq(t, Swept{}, got) // nothing was seen for long enough
+	must.Eq(t, Swept{}, got) // no version has been observed for MinAge yet
 	now = now.Add(cfg.Collect.MinAge)
 	var all Swept
 	for range 10 {
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -13,11 +13,11 @@
 
 // LoadError reports a version that could not be loaded.
 type LoadError struct {
-	// Ref is the version.
+	// Ref identifies the version.
 	Ref snapshot.Ref
-	// Err is the cause: an error of platform or snapshot. After a
-	// *store.NotFoundError the version has been superseded for long, and
-	// the head should be read again.
+	// Err is the cause: an error of the platform's store or of package
+	// snapshot. A *store.NotFoundError means that the version was superseded
+	// long ago and removed; the caller should read the head again.
 	Err error
 }
 
@@ -29,18 +29,18 @@
 // Unwrap returns the cause.
 func (e *LoadError) Unwrap() error { return e.Err }
 
-// UnexpectedActionError reports an action that the driver does not know: a
-// fault of the program.
+// UnexpectedActionError reports an action of a state machine that the driver
+// does not implement, which is a bug.
 type UnexpectedActionError struct {
-	// Action is the action.
+	// Action is the action that is not implemented.
 	Action core.Action
 }
 
 // Error implements error.
 func (e *UnexpectedActionError) Error() string { return fmt.Sprintf("unexpected action %T", e.Action) }
 
-// resultOf classifies a call's error. Anything that is not known to be without
-// effect is of unknown outcome.
+// resultOf classifies the error of a call to the platform. Any error that does
+// not prove that the call had no effect is classified as accept.Unknown.
 func resultOf(err error) accept.Result {
 	var condition *store.ConditionError
 	var unavailable *store.UnavailableError
--- a/internal/control/helpers_test.go
+++ b/internal/control/helpers_test.go
@@ -6,7 +6,8 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// testConfig checks no documents on their own: that is tested with them.
+// testConfig returns a configuration without validation of documents, which the
+// tests of the documents cover.
 func testConfig() Config {
 	cfg := DefaultConfig()
 	cfg.Accept.Validate = func(*model.Batch) error { return nil }
@@ -17,7 +18,7 @@
 	return &model.Contract{Organisation: organisation, Hosts: []string{organisation + ".example"}, Weight: weight}
 }
 
-// put returns a change of one contract.
+// put returns a change that writes one contract, based on its revision base.
 func put(id, organisation string, weight int, base uint64) accept.Change {
 	return accept.Change{
 		ID:    id,
--- a/internal/control/random_test.go
+++ b/internal/control/random_test.go
@@ -16,7 +16,7 @@
 	"github.com/jacinthgate/jacinthgate/state/snapshot"
 )
 
-// attempt is one send of a change by one accepter.
+// attempt is one send of a change, run by its own state machine.
 type attempt struct {
 	change  accept.Change
 	machine *accept.Machine
@@ -27,21 +27,22 @@
 
 func (a *attempt) active() bool { return a.end == nil && !a.crashed }
 
-// taken is a version that was accepted: by which attempt of which change.
-type taken struct {
+// commit records which attempt of which change led to an accepted version.
+type commit struct {
 	by *attempt
 	id string
 }
 
-// world runs attempts step by step, in any order and with any fault.
+// world is a simulation that runs attempts step by step, interleaved in random
+// order and with random faults.
 type world struct {
 	rt        *rapid.T
 	now       time.Time
 	accepter  *Accepter
 	collector *Collector
 	attempts  []*attempt
-	delayed   []func() // writes still on their way
-	log       map[uint64]taken
+	delayed   []func() // writes in flight
+	log       map[uint64]commit
 	version   uint64
 }
 
@@ -51,20 +52,20 @@
 	cfg.Collect.KeepVersions = 2
 	cfg.Collect.MinAge = time.Millisecond
 	accepting := testConfig()
-	accepting.Accept.Deadline = 60 * time.Millisecond // a few failures reach it
+	accepting.Accept.Deadline = 60 * time.Millisecond // a few failures are enough to exceed it
 	accepting.Accept.RetryMax = accepting.Accept.RetryMin
 	w := &world{
 		rt:        rt,
 		now:       time.Unix(1e9, 0),
 		accepter:  NewAccepter(accepting, store.Table(), store.Objects()),
 		collector: NewCollector(cfg, store.Table(), store.Objects()),
-		log:       make(map[uint64]taken),
+		log:       make(map[uint64]commit),
 	}
 	return w
 }
 
-// start sends a change. A repeat has the same documents; it has another base
-// only when the earlier sends have ended.
+// start sends a change. A resend has the same documents; its base differs only
+// when all earlier sends have ended.
 func (w *world) start(rt *rapid.T) {
 	n := rapid.IntRange(1, 6).Draw(rt, "change")
 	id := "change-" + string(rune('0'+n))
@@ -95,6 +96,7 @@
 	w.step(a, accept.Start{})
 }
 
+// load returns the current version, read in full.
 func (w *world) load() *snapshot.Snapshot {
 	head, err := w.accepter.Head(context.Background())
 	must.NoError(w.rt, err)
@@ -106,6 +108,8 @@
 	return s
 }
 
+// step passes an event to the attempt's state machine, which must return
+// exactly one action.
 func (w *world) step(a *attempt, ev core.Event) {
 	w.now = w.now.Add(time.Millisecond)
 	acts := a.machine.Step(w.now, ev)
@@ -117,7 +121,7 @@
 	a.pending = acts[0]
 }
 
-// pick draws an active attempt; nil when there is none.
+// pick draws an active attempt, or returns nil when there is none.
 func (w *world) pick(rt *rapid.T) *attempt {
 	var active []*attempt
 	for _, a := range w.attempts {
@@ -131,7 +135,7 @@
 	return rapid.SampledFrom(active).Draw(rt, "attempt")
 }
 
-// run carries out some actions of one attempt, the last with a fault or without.
+// run performs some actions of one attempt; the last may be given a fault.
 func (w *world) run(rt *rapid.T) {
 	a := w.pick(rt)
 	if a == nil {
@@ -148,6 +152,8 @@
 	}
 }
 
+// perform carries out the pending action of an attempt with a fault, or without
+// one if fault is empty.
 func (w *world) perform(a *attempt, fault string) {
 	act := a.pending
 	if wait, ok := act.(accept.Wait); ok {
@@ -157,42 +163,43 @@
 		w.step(a, core.Tick{})
 		return
 	}
-	lost := &LoadError{}
+	cause := &LoadError{}
 	switch fault {
 	case "":
 		w.step(a, w.effect(a, act))
 	case "failed":
-		w.step(a, answer(act, accept.Failed, lost))
+		w.step(a, failureEvent(act, accept.Failed, cause))
 	case "answer lost":
 		w.effect(a, act)
-		w.step(a, answer(act, accept.Unknown, lost))
+		w.step(a, failureEvent(act, accept.Unknown, cause))
 	case "delayed":
 		w.delayed = append(w.delayed, func() { w.effect(a, act) })
 		fallthrough
 	case "request lost":
-		w.step(a, answer(act, accept.Unknown, lost))
+		w.step(a, failureEvent(act, accept.Unknown, cause))
 	}
 }
 
-// effect carries out an action on the platform and notes accepted versions.
+// effect carries out an action on the platform, and checks and records the
+// version that it commits, if any.
 func (w *world) effect(a *attempt, act core.Action) core.Event {
 	before := w.load()
 	ev := w.accepter.perform(context.Background(), act)
 	if head, err := w.accepter.Head(context.Background()); err == nil && head.Ref.Version != w.version {
-		must.Eq(w.rt, w.version+1, head.Ref.Version, must.Sprint("versions rise by one"))
+		must.Eq(w.rt, w.version+1, head.Ref.Version, must.Sprint("versions must increase by one"))
 		must.Eq(w.rt, a.change.ID, head.Recent[0].ChangeID)
 		for key, base := range a.change.Base {
-			must.Eq(w.rt, contractRevision(before, key[len("contract/"):]), base, must.Sprint("no lost update"))
+			must.Eq(w.rt, contractRevision(before, key[len("contract/"):]), base, must.Sprint("a commit must not overwrite a newer revision"))
 		}
 		w.version = head.Ref.Version
-		w.log[w.version] = taken{by: a, id: a.change.ID}
+		w.log[w.version] = commit{by: a, id: a.change.ID}
 	}
 	return ev
 }
 
-// answer returns the event of an action that failed. Of a read it is always
-// certain that it had no effect.
-func answer(act core.Action, r accept.Result, err error) core.Event {
+// failureEvent returns the event of an action that failed with result r. A
+// failed read always has the result Failed, as it certainly had no effect.
+func failureEvent(act core.Action, r accept.Result, err error) core.Event {
 	switch act.(type) {
 	case accept.ReadHead:
 		return accept.HeadRead{Result: accept.Failed, Err: err}
@@ -207,16 +214,17 @@
 	}
 }
 
-// stall lets the deadlines of all attempts pass.
+// stall advances the clock past the deadlines of all attempts.
 func (w *world) stall(*rapid.T) { w.now = w.now.Add(w.accepter.cfg.Accept.Deadline) }
 
+// crash stops an active attempt for good.
 func (w *world) crash(rt *rapid.T) {
 	if a := w.pick(rt); a != nil {
 		a.crashed = true
 	}
 }
 
-// land lets one delayed write take effect.
+// land makes one delayed write take effect.
 func (w *world) land(rt *rapid.T) {
 	if len(w.delayed) == 0 {
 		return
@@ -227,19 +235,20 @@
 	write()
 }
 
+// sweep runs the collector once.
 func (w *world) sweep(*rapid.T) {
 	w.now = w.now.Add(time.Millisecond)
 	_, err := w.collector.Sweep(context.Background(), w.now)
 	must.NoError(w.rt, err)
 }
 
-// check checks what must hold after each step.
+// check verifies the invariants that hold after each step.
 func (w *world) check(*rapid.T) {
-	s := w.load() // the head's body is there and whole
+	s := w.load() // fails unless the head's version is present and complete
 	must.Eq(w.rt, w.version, s.Version())
 	accepted := make(map[string]uint64)
 	for version, t := range w.log {
-		must.MapNotContainsKey(w.rt, accepted, t.id, must.Sprint("a change takes effect once"))
+		must.MapNotContainsKey(w.rt, accepted, t.id, must.Sprint("a change must take effect at most once"))
 		accepted[t.id] = version
 	}
 	for _, a := range w.attempts {
@@ -249,28 +258,30 @@
 	}
 }
 
+// checkEnd verifies the outcome that a finished attempt reported.
 func (w *world) checkEnd(a *attempt, accepted map[string]uint64) {
 	var unknown *accept.UnknownOutcomeError
 	var refused *accept.RefusedError
 	switch {
 	case a.end.Err == nil:
-		must.Eq(w.rt, a.end.Accepted.Ref.Version, accepted[a.change.ID], must.Sprint("no false yes"))
+		must.Eq(w.rt, a.end.Accepted.Ref.Version, accepted[a.change.ID], must.Sprint("a change reported as accepted must be accepted as that version"))
 	case errors.As(a.end.Err, &unknown):
 	case errors.As(a.end.Err, &refused):
-		must.False(w.rt, a.change.Resend, must.Sprint("an earlier send may have been taken"))
+		must.False(w.rt, a.change.Resend, must.Sprint("a resend must not be refused: an earlier send may have been accepted"))
 		for _, t := range w.log {
-			must.True(w.rt, t.by != a, must.Sprint("refused, but taken"))
+			must.True(w.rt, t.by != a, must.Sprint("the attempt was refused, but its change was accepted"))
 		}
 	default:
-		// Conflict: holds for every send that ended before and for those of
-		// the same base. Later sends may have another base.
+		// A conflict or other definite rejection applies to this send and to
+		// all earlier ones, as they have ended or have the same base. Later
+		// sends may have another base.
 		for version, t := range w.log {
-			must.False(w.rt, t.id == a.change.ID && !w.after(t.by, a), must.Sprintf("no false no: %v, version %d", a.end.Err, version))
+			must.False(w.rt, t.id == a.change.ID && !w.after(t.by, a), must.Sprintf("the attempt ended with %v, but its change was accepted as version %d", a.end.Err, version))
 		}
 	}
 }
 
-// after reports whether b was sent before a.
+// after reports whether a was sent after b.
 func (w *world) after(a, b *attempt) bool {
 	for _, x := range w.attempts {
 		if x == a {
@@ -298,7 +309,7 @@
 			"sweep": w.sweep,
 			"":      w.check,
 		})
-		// Once the faults are over, every change comes to an end.
+		// Without further faults, every attempt must finish.
 		for _, a := range w.attempts {
 			for i := 0; a.active(); i++ {
 				must.Less(rt, 100, i)
--- a/internal/control/reader.go
+++ b/internal/control/reader.go
@@ -8,24 +8,27 @@
 	"github.com/jacinthgate/jacinthgate/state/store"
 )
 
-// Reader reads the accepted configuration. It is safe for concurrent use.
+// Reader reads the accepted configuration from the platform: the head, the
+// records of changes and the versions. It is safe for concurrent use.
 type Reader struct {
 	table   store.Table
 	objects store.Objects
 }
 
-// NewReader returns a reader over the platform.
+// NewReader returns a reader of the platform's table and object store.
 func NewReader(table store.Table, objects store.Objects) *Reader {
 	return &Reader{table: table, objects: objects}
 }
 
-// Head reads the current head; the zero Head before the first version. The
-// error is one of platform's or an *accept.DecodeError.
+// Head reads and returns the current head, which is the zero Head before the
+// first version. The error is an error of the platform's store or an
+// *accept.DecodeError.
 func (r *Reader) Head(ctx context.Context) (accept.Head, error) {
 	head, _, err := r.readHead(ctx)
 	return head, err
 }
 
+// readHead returns the current head and its revision in the table.
 func (r *Reader) readHead(ctx context.Context) (accept.Head, uint64, error) {
 	it, err := r.table.Get(ctx, accept.HeadKey)
 	if err != nil {
@@ -35,8 +38,9 @@
 	return head, it.Revision, err
 }
 
-// Change reads the record of an accepted change; nil when there is none. The
-// error is one of platform's or an *accept.DecodeError.
+// Change reads and returns the record of an accepted change, or nil when there
+// is none. The error is an error of the platform's store or an
+// *accept.DecodeError.
 func (r *Reader) Change(ctx context.Context, id string) (*accept.Record, error) {
 	it, err := r.table.Get(ctx, accept.RecordKey(id))
 	if err != nil {
@@ -48,8 +52,9 @@
 	return accept.DecodeRecord(id, it.Value)
 }
 
-// History reads the newest accepted versions, newest first, at most limit. The
-// newest accept.RecentLength cost one read, each further one costs one more.
+// History returns at most limit accepted versions, newest first. It reads the
+// head, which lists the newest accept.RecentLength versions, and follows the
+// records of changes from there: one more read for each older version.
 func (r *Reader) History(ctx context.Context, limit int) ([]accept.Entry, error) {
 	head, err := r.Head(ctx)
 	if err != nil {
@@ -68,9 +73,10 @@
 	return entries, err
 }
 
-// LoadVersion returns the head's version, whole and checked by its hash. When
-// held is at most accept.RecentLength versions behind, the deltas are read, and
-// the whole version only when they fail. The error is a *LoadError.
+// LoadVersion returns the full version that the head refers to, verified by its
+// hash. When held is at most accept.RecentLength versions behind, LoadVersion
+// applies the deltas to it, and reads the full version only if that fails. The
+// error is a *LoadError.
 func (r *Reader) LoadVersion(ctx context.Context, held *snapshot.Snapshot, head accept.Head) (*snapshot.Snapshot, error) {
 	if held.Ref() == head.Ref {
 		return held, nil
@@ -92,8 +98,9 @@
 	return s, nil
 }
 
-// loadDeltas returns the head's version by way of deltas, or nil. Any failure
-// is left to the reading of the whole version.
+// loadDeltas builds the head's version from held and the deltas since. It
+// returns nil when held is too old or on any failure; the caller then reads the
+// full version.
 func (r *Reader) loadDeltas(ctx context.Context, held *snapshot.Snapshot, head accept.Head) *snapshot.Snapshot {
 	if held.Version() == 0 || !head.Ref.Newer(held.Ref()) {
 		return nil
--- a/internal/control/size_test.go
+++ b/internal/control/size_test.go
@@ -17,7 +17,8 @@
 	manyServices  = 270
 )
 
-// largeContract is a contract of the usual size: three classes, four routes.
+// largeContract returns a contract of typical size, with three classes and four
+// routes.
 func largeContract(i, weight int) *model.Contract {
 	name := fmt.Sprintf("organisation-%04d", i)
 	c := &model.Contract{
@@ -49,6 +50,7 @@
 	return c
 }
 
+// largeBatch returns a batch of manyServices services and manyContracts contracts.
 func largeBatch() *model.Batch {
 	b := new(model.Batch)
 	for i := range manyServices {
@@ -60,20 +62,19 @@
 	return b
 }
 
-// changeOne returns the change of one contract that was last changed in the
-// version base.
+// changeOne returns a change of one contract, whose latest revision is base.
 func changeOne(n int, base uint64) accept.Change {
 	c := largeContract(7, 1+n%100)
 	return accept.Change{
-		// As long as a UUID.
+		// The ID has the length of a UUID.
 		ID:    fmt.Sprintf("01234567-89ab-cdef-0123-%012d", n),
 		Batch: &model.Batch{Contracts: []*model.Contract{c}},
 		Base:  map[string]uint64{accept.ContractKey(c.Organisation): base},
 	}
 }
 
-// Bounds on what one change of one contract among 2,000 costs. The bounds on
-// bytes leave a fifth above what was measured.
+// Bounds the reads, writes and stored bytes of a change of one contract among
+// 2,000. The bounds on bytes leave a margin of a fifth.
 func TestCostOfOneChange(t *testing.T) {
 	t.Parallel()
 	const (
@@ -103,14 +104,15 @@
 	must.Less(t, maxRecord, len(record.Value))
 }
 
-// The head is polled, so it must stay small however many changes there were.
+// The head is polled, so its size must stay bounded, however many changes were
+// accepted.
 func TestHeadStaysSmall(t *testing.T) {
 	const maxHead = 1_760
 	s := platformtest.New(platformtest.Faults{}, 1)
 	a := newAccepter(s)
 	for n := range 2 * accept.RecentLength {
 		c := changeOne(n, uint64(n))
-		c.Batch.Contracts[0].Routes = nil // they need services
+		c.Batch.Contracts[0].Routes = nil // routes need services, which this batch does not contain
 		mustApply(t, a, c)
 	}
 	head, err := s.Table().Get(t.Context(), accept.HeadKey)
