--- a/coordination/perwork/perwork_test.go
+++ b/coordination/perwork/perwork_test.go
@@ -20,7 +20,7 @@
 	}
 	n := 0
 	m.Each(func(model.Work, *int) { n++ })
-	must.LessEq(t, MaxWorkloads+model.NumKinds, n)
+	must.LessEq(t, MaxWorkloads+model.NumRanks, n)
 	must.Eq(t, 7, *m.Of(first))
 	must.Eq(t, 10*MaxWorkloads-MaxWorkloads+1, *m.Of(model.Work{Kind: "unheard", Rank: 99}))
 }
--- a/state/model/check.go
+++ b/state/model/check.go
@@ -33,7 +33,8 @@
 	return s != "" && len(s) <= MaxNameLength && s[0] != '-' && onlyBytes(s, nameBytes)
 }
 
-// ValidHost reports whether s is a lower-case host name without port.
+// ValidHost reports whether s is a lower-case host name without port. Each label
+// must be a valid name and must not end with a hyphen.
 func ValidHost(s string) bool {
 	if len(s) > MaxHostLength {
 		return false
--- a/state/model/contract.go
+++ b/state/model/contract.go
@@ -52,7 +52,8 @@
 // and how its requests are shed under overload.
 type ClassKind string
 
-// The kinds of class, most important first.
+// The kinds of class, most important first. A contract's class can't have the
+// kind KindUpload; only the platform's routes do.
 const (
 	// KindNonRepeatable is work that must run at most once (a booking, a paid
 	// order).
@@ -67,11 +68,12 @@
 	KindEventual ClassKind = "eventual"
 )
 
-// NumKinds is the number of kinds.
-const NumKinds = 4
+// NumRanks is the number of ranks of kinds: KindUpload shares the rank of
+// KindNonRepeatable.
+const NumRanks = 4
 
 // Rank returns the kind's position in the order of importance, from 0 for the
-// most important to NumKinds-1. An unknown kind ranks as the least important.
+// most important to NumRanks-1. An unknown kind ranks as the least important.
 func (k ClassKind) Rank() int {
 	switch k {
 	case KindNonRepeatable, KindUpload:
@@ -81,7 +83,7 @@
 	case KindBulk:
 		return 2
 	default:
-		return NumKinds - 1
+		return NumRanks - 1
 	}
 }
 
@@ -124,8 +126,8 @@
 	// Ratio is the number of retries allowed for each first attempt.
 	Ratio float64 `json:"ratio" cbor:"1,keyasint" jsonschema:"minimum=0,maximum=1"`
 	// MinPerSecond is the number of retries per second over the whole fleet
-	// that are allowed whatever the ratio, so that a class with little traffic may
-	// still retry.
+	// that are allowed whatever the ratio, so that a class with little traffic
+	// may still retry.
 	MinPerSecond float64 `json:"minPerSecond" cbor:"2,keyasint" jsonschema:"minimum=0,maximum=1000"`
 }
 
