--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -1,20 +1,20 @@
-// Package bootclock reads a clock that goes on while the host is suspended.
+// Package bootclock reads a clock that keeps running while the host is suspended.
 //
-// Go's monotonic time stands still while a host is suspended. What must not outlive a
-// bound in real time, such as a proof that a configuration is current, would then be
-// taken for as young as it was before. A process that is stopped alone needs no such
-// clock: its host's time goes on.
+// Go's monotonic clock stops while the host is suspended. Anything with a maximum age in
+// real time, such as a proof that a configuration is current, would not age during the
+// suspension. The package isn't needed for a process that is stopped on a running host:
+// there the monotonic clock keeps running.
 package bootclock
 
 import "time"
 
-// Now returns the moment by this clock. It says nothing of the time of day and is to be
-// compared with other moments of this clock only.
+// Now returns the current reading of this clock. It is unrelated to the time of day and
+// may only be compared with other readings of this clock.
 func Now() time.Time { return time.Unix(0, int64(sinceBoot())) }
 
-// begin is where monotonic time is counted from.
-var begin = time.Now()
+// processStart is the origin of sinceProcessStart.
+var processStart = time.Now()
 
-// sinceBegin is the monotonic time since the process began, where there is no better
-// clock. It doesn't count suspensions on every system.
-func sinceBegin() time.Duration { return time.Since(begin) + time.Nanosecond }
+// sinceProcessStart returns the monotonic time since the process started. It is the
+// fallback where no better clock is available; on some systems it excludes suspensions.
+func sinceProcessStart() time.Duration { return time.Since(processStart) + time.Nanosecond }
--- a/internal/bootclock/bootclock_linux.go
+++ b/internal/bootclock/bootclock_linux.go
@@ -6,15 +6,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// supported says whether the system lets the process read the clock. It is found out
-// once: two clocks must not be mixed.
+// supported reports whether the process can read CLOCK_BOOTTIME. It is determined only
+// once, because readings of two clocks must not be mixed.
 var supported = unix.ClockGettime(unix.CLOCK_BOOTTIME, new(unix.Timespec)) == nil
 
-// sinceBoot is the time since the host's start, suspensions included.
+// sinceBoot returns the time since the host booted, including suspensions.
 func sinceBoot() time.Duration {
 	var ts unix.Timespec
 	if !supported || unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
-		return sinceBegin()
+		return sinceProcessStart()
 	}
 	return time.Duration(ts.Nano())
 }
--- a/internal/bootclock/bootclock_other.go
+++ b/internal/bootclock/bootclock_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// sinceBoot is the time since the process began.
-func sinceBoot() time.Duration { return sinceBegin() }
+// sinceBoot returns the time since the process started.
+func sinceBoot() time.Duration { return sinceProcessStart() }
--- a/internal/bootclock/bootclock_test.go
+++ b/internal/bootclock/bootclock_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestMomentsRise(t *testing.T) {
+func TestNowIsMonotonic(t *testing.T) {
 	last := Now()
 	must.True(t, last.After(time.Unix(0, 0)))
 	for range 1000 {
@@ -17,8 +17,8 @@
 	}
 }
 
-// A step of the wall clock must not show: the moments differ as monotonic time does.
-func TestMomentsDifferAsMonotonicTimeDoes(t *testing.T) {
+// Readings must not follow steps of the wall clock: they advance with monotonic time.
+func TestNowAdvancesWithMonotonicTime(t *testing.T) {
 	before, monotonic := Now(), time.Now()
 	time.Sleep(5 * time.Millisecond)
 	inner := time.Since(monotonic)
--- a/internal/eventqueue/loop.go
+++ b/internal/eventqueue/loop.go
@@ -7,29 +7,29 @@
 	"github.com/jacinthgate/jacinthgate/coordination/core"
 )
 
-// TickInterval is the time between two Ticks of the cores, which ask for one at
-// least every 100 ms.
+// TickInterval is the time between two Ticks. The cores require one at least
+// every 100 ms.
 const TickInterval = 100 * time.Millisecond
 
 // Links are the connections to peers.
 type Links interface {
-	// Events delivers what arrives and how connections begin and end.
+	// Events delivers received messages, and the start and end of connections.
 	Events() <-chan core.Event
 }
 
-// Loop is the goroutine that owns the decision cores of a node: it alone touches
-// them, between two events.
+// Loop runs the event loop of a node. The goroutine in Run owns the node's decision
+// cores: no other goroutine accesses them, and it handles one event at a time.
 type Loop struct {
-	// Queue holds the events and questions of other goroutines.
+	// Queue holds the events and function calls submitted by other goroutines.
 	Queue *Queue
-	// Links are the links to peers, and LinksDone is closed when they have ended.
+	// Links are the connections to peers; LinksDone is closed once they have shut down.
 	Links     Links
 	LinksDone <-chan struct{}
 	// Flush fires when changed records are due to be sent.
 	Flush *time.Timer
-	// Step gives one event to every core and carries out what follows.
+	// Step passes one event to every core and executes the resulting actions.
 	Step func(core.Event)
-	// OnTick is called each TickInterval; it steps with a Tick.
+	// OnTick is called every TickInterval; it runs Step with a Tick.
 	OnTick func(now time.Time)
 }
 
@@ -56,8 +56,8 @@
 	}
 }
 
-// drain takes the links' last events, and answers what their handshakes still ask,
-// so that the links can end.
+// drain discards remaining events and still runs queued calls until LinksDone is
+// closed: handshakes in progress wait for these calls, and the links for the handshakes.
 func (l *Loop) drain() {
 	for {
 		select {
--- a/internal/eventqueue/loop_test.go
+++ b/internal/eventqueue/loop_test.go
@@ -11,17 +11,17 @@
 	"github.com/jacinthgate/jacinthgate/coordination/core"
 )
 
-// links are links without events.
+// links is a Links that delivers no events.
 type links chan core.Event
 
 // Events implements Links.
 func (l links) Events() <-chan core.Event { return l }
 
-// A handshake with a peer asks the loop what to say, and may do so just as the
-// node stops. The links wait for the handshake and the loop for the links, so an
-// answer that never comes holds up the end of the process. The soak met it with
+// A handshake with a peer calls the loop for the contents of its messages, possibly
+// while the node shuts down. The links wait for the handshake and the loop for the
+// links, so a call that is never run blocks shutdown. The soak test showed this with
 // seed 3006: a node still ran 8 s after SIGTERM.
-func TestLoopAnswersUntilTheLinksHaveEnded(t *testing.T) {
+func TestLoopRunsCallsUntilLinksHaveEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		linksDone := make(chan struct{})
@@ -40,7 +40,7 @@
 		answered := false
 		must.True(t, q.Ask(t.Context(), func() { answered = true }))
 		must.True(t, answered)
-		for range 3 { // more than fit
+		for range 3 { // more than the queue's capacity
 			q.Post(t.Context(), core.Tick{})
 		}
 		close(linksDone)
--- a/internal/eventqueue/queue.go
+++ b/internal/eventqueue/queue.go
@@ -1,5 +1,5 @@
-// Package eventqueue brings events and questions to the goroutine that owns the
-// decision cores of a node.
+// Package eventqueue delivers events and function calls to the goroutine that owns
+// the decision cores of a node.
 package eventqueue
 
 import (
@@ -8,22 +8,22 @@
 	"github.com/jacinthgate/jacinthgate/coordination/core"
 )
 
-// Queue is what waits for the owner of the cores, who reads both channels. Its
-// methods are safe for concurrent use.
+// Queue holds events and calls for the goroutine that owns the cores, which receives
+// from both channels. Its methods are safe for concurrent use.
 type Queue struct {
 	// Events are for the cores.
 	Events chan core.Event
-	// Calls run between two events.
+	// Calls are functions that the owner runs between two events.
 	Calls chan func()
 }
 
-// New returns a queue in which so many events wait before Post blocks.
+// New returns a queue that buffers the given number of events before Post blocks.
 func New(events int) *Queue {
 	return &Queue{Events: make(chan core.Event, events), Calls: make(chan func())}
 }
 
-// Post hands over an event. It blocks while the owner is behind, and gives up
-// when ctx ends.
+// Post enqueues an event. It blocks while the queue is full, and discards the event
+// if ctx ends first.
 func (q *Queue) Post(ctx context.Context, ev core.Event) {
 	select {
 	case q.Events <- ev:
@@ -31,8 +31,8 @@
 	}
 }
 
-// Ask runs f on the owner's goroutine and waits for it. It reports false, and f
-// may never run, when ctx ends first.
+// Ask runs f on the owner's goroutine and waits until it returns. If ctx ends first,
+// Ask returns false without waiting for f, which may still run or never run.
 func (q *Queue) Ask(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	call := func() {
--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	// asyncQueue is the number of lines that wait for the output.
+	// asyncQueue is the capacity, in lines, of the queue before the output.
 	asyncQueue = 512
-	// asyncPerSecond and asyncBurst bound the lines of a process, so that an
-	// overload that refuses every request costs no more in logs than this.
+	// asyncPerSecond and asyncBurst limit the rate of log lines of a process, which
+	// bounds the cost of logging in an overload that refuses every request.
 	asyncPerSecond = 100
 	asyncBurst     = 400
-	// detailReserve is the part of the burst that details leave to other lines: one request
-	// may have several, and one line that tells of its end.
+	// detailReserve is the number of burst tokens reserved for lines other than details:
+	// a request may log several details, but only one line with its outcome.
 	detailReserve = asyncBurst / 2
-	// flushTime bounds the wait for an output that takes nothing when the process ends.
+	// flushTime limits how long Close waits for an output that blocks.
 	flushTime = 200 * time.Millisecond
 )
 
-// Async is a writer that never blocks: lines wait in a bounded queue, and those
-// that find it full, or that come faster than the bound, are dropped and
+// Async is a writer that never blocks. Lines are buffered in a bounded queue; lines
+// that exceed the rate limit, or arrive while the queue is full, are dropped and
 // counted.
 type Async struct {
 	lines   chan []byte
 	limit   *rate.Limiter
 	dropped atomic.Uint64
 	done    chan struct{}
-	writing chan struct{}
+	stopped chan struct{}
 }
 
-// NewAsync returns a writer to w. Close ends it.
+// NewAsync returns a writer to w and starts its goroutine, which Close stops.
 func NewAsync(w io.Writer) *Async {
 	a := &Async{
 		lines:   make(chan []byte, asyncQueue),
 		limit:   rate.NewLimiter(asyncPerSecond, asyncBurst),
 		done:    make(chan struct{}),
-		writing: make(chan struct{}),
+		stopped: make(chan struct{}),
 	}
 	go a.run(w)
 	return a
 }
 
-// Write implements io.Writer. It keeps a copy of the line.
+// Write implements io.Writer. It enqueues a copy of the line.
 func (a *Async) Write(line []byte) (int, error) {
 	if !a.limit.AllowN(time.Now(), 1) {
 		a.dropped.Add(1)
@@ -60,7 +60,8 @@
 	return len(line), nil
 }
 
-// Details returns a writer to the same output for lines that others go before.
+// Details returns a writer to the same output for low-priority lines: they are dropped
+// while fewer than detailReserve tokens are left.
 func (a *Async) Details() io.Writer { return detailWriter{a} }
 
 type detailWriter struct{ to *Async }
@@ -74,16 +75,16 @@
 	return d.to.Write(line)
 }
 
-// Dropped returns the number of lines that were not written so far.
+// Dropped returns the number of lines dropped so far.
 func (a *Async) Dropped() uint64 { return a.dropped.Load() }
 
-// run writes until Close.
+// run writes queued lines to w until Close.
 func (a *Async) run(w io.Writer) {
-	defer close(a.writing)
+	defer close(a.stopped)
 	for {
 		select {
 		case line := <-a.lines:
-			_, _ = w.Write(line) // there is nowhere to report it
+			_, _ = w.Write(line) // a failed log write can't be reported anywhere
 		case <-a.done:
 			a.flush(w)
 			return
@@ -91,24 +92,24 @@
 	}
 }
 
-// flush writes what waits.
+// flush writes the lines left in the queue.
 func (a *Async) flush(w io.Writer) {
 	for {
 		select {
 		case line := <-a.lines:
-			_, _ = w.Write(line) // there is nowhere to report it
+			_, _ = w.Write(line) // a failed log write can't be reported anywhere
 		default:
 			return
 		}
 	}
 }
 
-// Close writes the lines that wait, as far as the output takes them in flushTime, and ends
-// the writer. Lines that come later are dropped.
+// Close stops the writer, and waits up to flushTime for the queued lines to be written.
+// Lines that arrive later are dropped.
 func (a *Async) Close() {
 	close(a.done)
 	select {
-	case <-a.writing:
+	case <-a.stopped:
 	case <-time.After(flushTime):
 	}
 }
--- a/internal/logging/async_test.go
+++ b/internal/logging/async_test.go
@@ -10,20 +10,20 @@
 	"github.com/shoenig/test/must"
 )
 
-// stuck is an output that doesn't take anything until it is released.
-type stuck struct {
+// blockedWriter is an output whose writes block until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 	got     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return s.got.Write(p)
 }
 
 func TestLogNeverBlocksAndCountsWhatItDrops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{release: make(chan struct{})}
+		out := &blockedWriter{release: make(chan struct{})}
 		a := NewAsync(out)
 		const lines = 10_000
 		for range lines {
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestLogGoesOnAfterABurst(t *testing.T) {
+func TestAsyncResumesAfterBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		a := NewAsync(&out)
@@ -54,11 +54,11 @@
 	})
 }
 
-func TestDetailsLeaveRoomForOtherLines(t *testing.T) {
+func TestDetailsReserveTokensForOtherLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		a := NewAsync(&out)
-		const seconds, refusals, attempts = 10, 60, 240 // of each second
+		const seconds, refusals, attempts = 10, 60, 240 // per second
 		for range seconds {
 			for i := range refusals {
 				for range attempts / refusals {
@@ -74,9 +74,9 @@
 	})
 }
 
-func TestOutputThatTakesNothingDoesNotHoldUpTheEnd(t *testing.T) {
+func TestCloseDoesNotWaitForBlockedOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{release: make(chan struct{})}
+		out := &blockedWriter{release: make(chan struct{})}
 		a := NewAsync(out)
 		_, err := a.Write([]byte("line\n"))
 		must.NoError(t, err)
--- a/internal/logging/limit.go
+++ b/internal/logging/limit.go
@@ -8,12 +8,13 @@
 )
 
 // Limit returns a logger that passes on at most perSecond events in each second
-// and drops the rest: for events that a stranger can bring about. What was
-// dropped shows in the metrics that count such events.
+// and drops the rest. It is meant for events that untrusted clients can cause.
+// Dropped events are still counted in the metrics for such events.
 func Limit(logger log.Logger, perSecond int) log.Logger {
 	return &limited{next: logger, perSecond: perSecond}
 }
 
+// limited is a logger with a rate limit over fixed windows of one second.
 type limited struct {
 	next      log.Logger
 	perSecond int
@@ -31,6 +32,7 @@
 	return l.next.Log(keyvals...)
 }
 
+// allow counts an event and reports whether it is within the limit.
 func (l *limited) allow(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging makes the logger of every binary: one line of key=value pairs
+// Package logging provides the logger of every binary: one line of key=value pairs
 // for each event.
 package logging
 
@@ -12,8 +12,8 @@
 )
 
 // New returns a logger that writes events of at least the given level ("debug",
-// "info", "warn" or "error"; anything else means info) with their time. Events
-// without a level are written always.
+// "info", "warn" or "error"; anything else means info) with a timestamp.
+// Events without a level are always written.
 func New(w io.Writer, least string) log.Logger {
 	logger := log.NewLogfmtLogger(log.NewSyncWriter(w))
 	logger = log.With(logger, "time", log.DefaultTimestampUTC)
@@ -21,16 +21,17 @@
 	return level.NewFilter(logger, level.Allow(allowed))
 }
 
-// CatchLibraries makes what libraries write through the standard library's
-// logger an event of this one, so that a log holds one kind of line only.
+// CatchLibraries redirects the output of the standard library's logger, which
+// third-party libraries use, to events of this logger, so that all lines of the log
+// have the same format.
 func CatchLibraries(logger log.Logger) {
 	stdlog.SetFlags(0)
-	stdlog.SetOutput(libraryWriter{Limit(logger, maxStrangerLines)})
+	stdlog.SetOutput(libraryWriter{Limit(logger, maxLibraryLines)})
 }
 
-// maxStrangerLines is the number of lines in a second, such as those on failed
-// TLS handshakes, that strangers can bring about.
-const maxStrangerLines = 10
+// maxLibraryLines limits the lines per second from libraries, since untrusted clients
+// can cause them, for example by failed TLS handshakes.
+const maxLibraryLines = 10
 
 // libraryWriter turns each message of the standard library's logger into an
 // event.
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestStrangersCantFloodTheLog(t *testing.T) {
+func TestLimitDropsExcessEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		logger := Limit(New(&out, "info"), 3)
--- a/internal/process/network.go
+++ b/internal/process/network.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// portReserve is listened on, at the network's address 0.3, while a site of
-	// processes runs, so that no other one on the machine takes the same network.
+	// portReserve is the port that a site of processes listens on, at the network's
+	// address 0.3, while it runs, so that no other site on the machine uses the same network.
 	portReserve = 9200
-	// maxNetwork is the largest network.
+	// maxNetwork is the largest network number.
 	maxNetwork = 254
-	// reserveAttempts bounds the networks that are tried.
+	// reserveAttempts limits the number of networks tried.
 	reserveAttempts = 20
 )
 
-// Network is a network of loopback addresses, 127.Number.x.y, that one site of
-// processes has for itself.
+// Network is a network of loopback addresses, 127.Number.x.y, reserved
+// for one site of processes.
 type Network struct {
 	// Number is the second byte of its addresses, 1 to 254.
 	Number   int
 	reserved net.Listener
 }
 
-// ReserveNetwork takes a network, or a free one where number is 0.
+// ReserveNetwork reserves the network with the given number, or a random free one if
+// number is 0.
 func ReserveNetwork(number int) (*Network, error) {
 	var err error
 	for range reserveAttempts {
@@ -48,9 +49,9 @@
 // IP returns one of the network's addresses.
 func (n *Network) IP(x, y int) string { return fmt.Sprintf("127.%d.%d.%d", n.Number, x, y) }
 
-// Release gives the network back. It may be called on nil.
+// Release ends the reservation. It may be called on nil.
 func (n *Network) Release() {
 	if n != nil {
-		_ = n.reserved.Close() // nothing is left to lose
+		_ = n.reserved.Close() // the listener is no longer needed
 	}
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,6 +1,5 @@
-// Package process starts programs as processes of their own, for tools that see
-// what a site of real processes does. Everything that it has started ends with
-// the process that started it.
+// Package process starts programs as child processes, for tools that observe a site
+// of real processes. All children are killed when the process that started them ends.
 package process
 
 import (
@@ -13,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// Process is one process that was started.
+// Process is a child process created by Start.
 type Process struct {
 	name string
 	cmd  *exec.Cmd
@@ -21,7 +20,7 @@
 	done chan struct{}
 }
 
-// Start starts a program with its output appended to dir/NAME.log.
+// Start starts a program, with its output appended to dir/NAME.log.
 func Start(dir, name, program string, args ...string) (*Process, error) {
 	out, err := os.OpenFile(LogFile(dir, name), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -29,7 +28,7 @@
 	}
 	cmd := exec.Command(program, args...)
 	cmd.Stdout, cmd.Stderr = out, out
-	// The processes must not outlive the one that started them.
+	// A child must not outlive the process that started it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		_ = out.Close() // the start failed already
@@ -40,13 +39,14 @@
 	return p, nil
 }
 
+// wait waits for the process to end, then closes its log and done.
 func (p *Process) wait() {
-	_ = p.cmd.Wait() // how it ended is in Exited
+	_ = p.cmd.Wait() // Failed reads the result from cmd.ProcessState
 	_ = p.log.Close()
 	close(p.done)
 }
 
-// Alive reports whether the process runs.
+// Alive reports whether the process is running. It returns false on nil.
 func (p *Process) Alive() bool {
 	if p == nil {
 		return false
@@ -59,10 +59,10 @@
 	}
 }
 
-// Failed reports whether the process has ended by a signal or with an error.
+// Failed reports whether the process was ended by a signal or exited with an error.
 func (p *Process) Failed() bool { return !p.Alive() && !p.cmd.ProcessState.Success() }
 
-// Signal sends a signal to this very process.
+// Signal sends a signal to this process only. It does nothing once the process has ended.
 func (p *Process) Signal(s os.Signal) error {
 	if !p.Alive() {
 		return nil
@@ -70,7 +70,7 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process with SIGKILL and waits until it has ended.
 func (p *Process) Kill() {
 	if !p.Alive() {
 		return
@@ -79,8 +79,8 @@
 	<-p.done
 }
 
-// Terminate ends the process gracefully, or at once after the timeout. It
-// reports whether it ended by itself.
+// Terminate sends SIGTERM, and kills the process if it still runs after the timeout.
+// It reports whether the process ended without being killed.
 func (p *Process) Terminate(timeout time.Duration) bool {
 	if !p.Alive() {
 		return true
@@ -98,8 +98,8 @@
 // PID returns the process's id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Ended is closed when the process has ended.
+// Ended returns a channel that is closed when the process has ended.
 func (p *Process) Ended() <-chan struct{} { return p.done }
 
-// LogFile returns the file with the output of the processes of one name.
+// LogFile returns the path of the file with the output of the processes of one name.
 func LogFile(dir, name string) string { return filepath.Join(dir, name+".log") }
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -1,5 +1,5 @@
-// Package signals catches the signals of a process, so that none ends it by the default
-// action while callers' requests are under way.
+// Package signals catches the signals of a process, so that no signal's default action
+// terminates it while callers' requests are in flight.
 package signals
 
 import (
@@ -8,26 +8,27 @@
 	"syscall"
 )
 
-// Signals are the signals of a process since Catch. The zero value never has any.
+// Signals delivers the signals that the process has received since Catch. The zero value
+// never delivers any.
 type Signals struct {
 	stop, reload chan os.Signal
 }
 
-// Catch begins to catch signals, until the process ends. Call it before anything is
-// opened that others can reach.
+// Catch starts catching signals, until the process ends. Call it before opening anything
+// that others can reach, such as a listener.
 func Catch() *Signals {
-	// A channel of its own for each purpose, with room for the one that counts: a signal
-	// that finds its channel full says nothing new.
+	// Each purpose has its own channel with capacity 1: a signal that arrives while its
+	// channel is full is redundant and can be dropped.
 	s := &Signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(s.reload, syscall.SIGHUP)
-	// Without it a log that nobody reads any more would end the process.
+	// Otherwise writing to a log pipe whose reader has gone would terminate the process.
 	signal.Ignore(syscall.SIGPIPE)
 	return s
 }
 
-// Stop has SIGTERM or SIGINT, which ask the process to end.
+// Stop delivers SIGTERM and SIGINT, which request termination.
 func (s *Signals) Stop() <-chan os.Signal { return s.stop }
 
-// Reload has SIGHUP, which asks for the settings to be read again.
+// Reload delivers SIGHUP, which requests a reload of the settings.
 func (s *Signals) Reload() <-chan os.Signal { return s.reload }
--- a/internal/signals/signals_test.go
+++ b/internal/signals/signals_test.go
@@ -11,7 +11,7 @@
 func TestTerminationIsNotLostBehindReloads(t *testing.T) {
 	s := Catch()
 	self := syscall.Getpid()
-	for range 50 { // nobody takes them
+	for range 50 { // none of them is received from the channel
 		must.NoError(t, syscall.Kill(self, syscall.SIGHUP))
 		time.Sleep(time.Millisecond)
 	}
